--- a/src/libs/placement/admission.cpp
+++ b/src/libs/placement/admission.cpp
@@ -10,237 +10,254 @@
 
 namespace {
 // How long a lost worker still counts as part of the site.
-const absl::Duration DepartedCounts = absl::Hours(2);
+const absl::Duration LostWorkerRetention = absl::Hours(2);
 } // namespace
 
-std::optional<Refusal> ClusterState::neverFits(const core::JobRequest &job,
-                                               const core::Profile &profile,
-                                               absl::Time now) const {
+std::optional<Refusal>
+ClusterState::refusalIfNeverFits(const core::JobRequest &job,
+                                 const core::Profile &profile,
+                                 absl::Time now) const {
   const core::Shape &shape = job.GangShape;
-  int members = 0;
-  int total = 0;
+  int siteMembers = 0;
+  int siteAccelerators = 0;
   auto count = [&](const core::WorkerInfo &info) {
-    members += info.Accelerators / shape.AcceleratorsPerMember;
-    total += info.Accelerators;
+    siteMembers += info.Accelerators / shape.AcceleratorsPerMember;
+    siteAccelerators += info.Accelerators;
   };
   for (const auto &[id, w] : Workers)
     count(w.Info);
-  for (const auto &[id, departed] : Departed)
-    if (now - departed.second < DepartedCounts)
-      count(departed.first);
-  if (members < shape.Members)
-    return Refusal{NotRunReason::CanNeverFit,
-                   "the site has no room for this gang even when empty", 0};
+  for (const auto &[id, lost] : LostWorkers)
+    if (now - lost.second < LostWorkerRetention)
+      count(lost.first);
+  if (siteMembers < shape.Members)
+    return Refusal{
+        NotRunReason::CanNeverFit,
+        "the site has too little capacity for this gang even when empty", 0};
   if (shape.powerWatts() > powerCapWatts())
     return Refusal{NotRunReason::CanNeverFit,
                    "the gang alone draws more than the site's power cap", 0};
-  int promised = 0;
+  int guaranteedTotal = 0;
   for (const auto &[name, p] : Profiles)
     for (const core::Guarantee &g : p.Guarantees)
-      promised += g.Accelerators;
-  const int own = profile.guaranteedAccelerators(job.Organisation);
+      guaranteedTotal += g.Accelerators;
+  const int ownGuarantee = profile.guaranteedAccelerators(job.Organisation);
   if (!job.Idempotent &&
-      shape.accelerators() > own + std::max(0, total - promised))
-    return Refusal{NotRunReason::CanNeverFit,
-                   "a non-idempotent gang cannot borrow guaranteed room, and "
-                   "this one is larger than the organisation's guarantee plus "
-                   "the room nobody is guaranteed",
-                   0};
+      shape.accelerators() >
+          ownGuarantee + std::max(0, siteAccelerators - guaranteedTotal))
+    return Refusal{
+        NotRunReason::CanNeverFit,
+        "a non-idempotent gang cannot borrow guaranteed capacity, and "
+        "this one is larger than the organisation's guarantee plus "
+        "the capacity that is guaranteed to nobody",
+        0};
   return std::nullopt;
 }
 
 int64_t ClusterState::expectedWatts(const core::JobRequest &job) const {
   const int64_t declared = job.GangShape.powerWatts();
-  auto it = Overdraw.find(job.Organisation);
-  if (it == Overdraw.end() || it->second <= 1.0)
+  auto it = OverdrawRatios.find(job.Organisation);
+  if (it == OverdrawRatios.end() || it->second <= 1.0)
     return declared;
-  // Charging past the cap would lock an organisation out for good; a gang
-  // that fits the cap by its declaration may still run alone.
+  // Charging more than the cap would lock an organisation out permanently. A
+  // gang whose declared power is within the cap can still run alone.
   return std::min(
       std::max(declared, powerCapWatts()),
       static_cast<int64_t>(static_cast<double>(declared) * it->second));
 }
 
-int64_t ClusterState::committedWatts(const std::set<RunId> &without) const {
+int64_t
+ClusterState::committedWatts(const std::set<RunId> &excludedRuns) const {
   int64_t watts = 0;
   for (const auto &[run, gang] : Gangs)
-    if (without.count(run) == 0)
+    if (excludedRuns.count(run) == 0)
       watts += gang.chargedWatts();
   return watts;
 }
 
-bool ClusterState::withinGuarantee(const Tenant &tenant) const {
-  int use = 0;
+bool ClusterState::isWithinGuarantee(
+    const OrganisationKey &organisation) const {
+  int usedAccelerators = 0;
   for (const auto &[run, gang] : Gangs)
-    if (tenantOf(gang.Job) == tenant)
-      use += gang.Job.GangShape.accelerators();
-  return use <= guaranteed(tenant);
+    if (organisationOf(gang.Job) == organisation)
+      usedAccelerators += gang.Job.GangShape.accelerators();
+  return usedAccelerators <= guaranteedTo(organisation);
 }
 
-// Gangs that job may have stopped, the one that loses least first: those of
-// organisations beyond their guarantee, then batch before urgent, then the
-// latest started. A firm job may take back anything that borrows; an urgent
-// borrower only batch work that borrows.
+// Returns the gangs that can be stopped for job, the one with the smallest loss
+// first: gangs of organisations beyond their guarantee first, then batch before
+// urgent, then the latest started. A job that uses its organisation's slots can
+// preempt any gang that borrows; an urgent job that borrows can preempt only
+// batch work that borrows.
 std::vector<const Allocation *>
-ClusterState::victims(const core::JobRequest &job, bool firm) const {
-  std::vector<const Allocation *> out;
+ClusterState::preemptionCandidates(const core::JobRequest &job,
+                                   bool usesSlots) const {
+  std::vector<const Allocation *> preemptible;
   for (const auto &[run, gang] : Gangs)
     if (!gang.firm() && gang.Job.Idempotent && !gang.Stopping &&
-        (firm || gang.Job.Class == JobClass::Batch))
-      out.push_back(&gang);
-  std::map<Tenant, bool> within;
-  for (const Allocation *gang : out)
-    within.try_emplace(tenantOf(gang->Job), false);
-  for (auto &[tenant, is] : within)
-    is = withinGuarantee(tenant);
+        (usesSlots || gang.Job.Class == JobClass::Batch))
+      preemptible.push_back(&gang);
+  std::map<OrganisationKey, bool> withinGuaranteeOf;
+  for (const Allocation *gang : preemptible)
+    withinGuaranteeOf.try_emplace(organisationOf(gang->Job), false);
+  for (auto &[organisation, isWithin] : withinGuaranteeOf)
+    isWithin = isWithinGuarantee(organisation);
   auto rank = [&](const Allocation *g) {
-    return std::make_tuple(within[tenantOf(g->Job)],
+    return std::make_tuple(withinGuaranteeOf[organisationOf(g->Job)],
                            g->Job.Class == JobClass::Urgent, -g->Order);
   };
-  std::sort(out.begin(), out.end(),
+  std::sort(preemptible.begin(), preemptible.end(),
             [&](const Allocation *a, const Allocation *b) {
               return rank(a) < rank(b);
             });
-  return out;
+  return preemptible;
 }
 
-// An urgent job whose organisation fills its guarantee with its own batch
-// work: the runs of that batch work which give up room accelerators.
+// For an urgent job whose organisation fills its guarantee with its own batch
+// work: returns the batch runs to stop, the latest first, so that
+// neededAccelerators become free. Returns nothing if there are not enough.
 std::optional<std::set<RunId>>
-ClusterState::ownBatchToYield(const core::JobRequest &job, int room) const {
-  std::vector<const Allocation *> mine;
+ClusterState::ownBatchToPreempt(const core::JobRequest &job,
+                                int neededAccelerators) const {
+  std::vector<const Allocation *> ownGangs;
   for (const auto &[run, gang] : Gangs)
     if (gang.firm() && gang.Job.Idempotent && !gang.Stopping &&
         gang.Job.Class == JobClass::Batch &&
-        tenantOf(gang.Job) == tenantOf(job))
-      mine.push_back(&gang);
-  std::sort(mine.begin(), mine.end(),
+        organisationOf(gang.Job) == organisationOf(job))
+      ownGangs.push_back(&gang);
+  std::sort(ownGangs.begin(), ownGangs.end(),
             [](const Allocation *a, const Allocation *b) {
               return a->Order > b->Order;
             });
-  std::set<RunId> out;
-  for (const Allocation *gang : mine) {
-    if (room <= 0)
+  std::set<RunId> victimRuns;
+  for (const Allocation *gang : ownGangs) {
+    if (neededAccelerators <= 0)
       break;
-    out.insert(gang->Run);
-    room -= gang->Job.GangShape.accelerators();
+    victimRuns.insert(gang->Run);
+    neededAccelerators -= gang->Job.GangShape.accelerators();
   }
-  if (room > 0)
+  if (neededAccelerators > 0)
     return std::nullopt;
-  return out;
+  return victimRuns;
 }
 
-// Of the gangs that could be stopped, those that hold room the job needs on
-// the workers chosen for it.
-std::set<RunId> ClusterState::neededVictims(
+// Returns ownVictims and those of the candidates that use accelerators which
+// the job needs on the workers chosen for it.
+std::set<RunId> ClusterState::selectVictims(
     const core::JobRequest &job, const Assignment &workers,
-    const std::set<RunId> &yielding,
+    const std::set<RunId> &ownVictims,
     const std::vector<const Allocation *> &candidates) const {
-  std::map<std::string, int> missing;
+  std::map<std::string, int> missingAccelerators;
   for (const std::string &w : workers)
-    missing[w] += job.GangShape.AcceleratorsPerMember;
-  for (auto &[id, n] : missing) {
+    missingAccelerators[w] += job.GangShape.AcceleratorsPerMember;
+  for (auto &[id, n] : missingAccelerators) {
     const Worker &w = Workers.at(id);
     n -= w.Info.Accelerators - w.Used;
   }
-  std::set<RunId> out = yielding;
-  auto give = [&](const Allocation &gang) {
+  std::set<RunId> victimRuns = ownVictims;
+  auto countAsFreed = [&](const Allocation &gang) {
     for (const std::string &w : gang.Workers) {
-      auto it = missing.find(w);
-      if (it != missing.end())
+      auto it = missingAccelerators.find(w);
+      if (it != missingAccelerators.end())
         it->second -= gang.Job.GangShape.AcceleratorsPerMember;
     }
   };
-  for (const RunId &run : yielding)
+  for (const RunId &run : ownVictims)
     if (const Allocation *gang = allocation(run))
-      give(*gang);
+      countAsFreed(*gang);
   for (const Allocation *gang : candidates) {
     const bool needed = std::any_of(
         gang->Workers.begin(), gang->Workers.end(), [&](const std::string &w) {
-          auto it = missing.find(w);
-          return it != missing.end() && it->second > 0;
+          auto it = missingAccelerators.find(w);
+          return it != missingAccelerators.end() && it->second > 0;
         });
     if (needed) {
-      out.insert(gang->Run);
-      give(*gang);
+      victimRuns.insert(gang->Run);
+      countAsFreed(*gang);
     }
   }
-  return out;
+  return victimRuns;
 }
 
-// A placement in the organisation's own slots, moving unused ones to where
-// room is if that helps.
+// Places the job in its organisation's own slots. Unused slots are moved to
+// workers with free capacity if that helps.
 std::optional<Assignment>
-ClusterState::placeFirm(const core::JobRequest &job,
-                        const std::vector<FreeWorker> &offers,
-                        const std::set<RunId> &without) const {
-  for (bool movingSlots : {true, false}) {
-    const auto room = firmRoom(job, without, movingSlots);
-    std::vector<FreeWorker> limited = offers;
-    for (FreeWorker &w : limited) {
-      auto it = room.find(w.Id);
-      w.FreeAccelerators =
-          std::min(w.FreeAccelerators, it == room.end() ? 0 : it->second);
+ClusterState::placeInSlots(const core::JobRequest &job,
+                           const std::vector<FreeWorker> &available,
+                           const std::set<RunId> &excludedRuns) const {
+  for (bool canMoveSlots : {true, false}) {
+    const auto slotCapacity = capacityInSlots(job, excludedRuns, canMoveSlots);
+    std::vector<FreeWorker> availableInSlots = available;
+    for (FreeWorker &w : availableInSlots) {
+      auto it = slotCapacity.find(w.Id);
+      w.FreeAccelerators = std::min(w.FreeAccelerators,
+                                    it == slotCapacity.end() ? 0 : it->second);
     }
-    auto workers = Place(limited, job.GangShape);
-    // With runs still to be stopped their slots are not free yet, so the plan
-    // cannot be checked; without moves the slots' own room is exact.
+    auto workers = Place(availableInSlots, job.GangShape);
+    // If slots can move, the plan is checked. The slots of runs that are yet to
+    // be stopped count as used in that check, so it may fail; the second
+    // attempt leaves the slots in place, and their free capacity is exact
+    // without a check.
     if (workers &&
-        (!movingSlots || planSlots(tenantOf(job), *workers,
-                                   job.GangShape.AcceleratorsPerMember)))
+        (!canMoveSlots || planSlots(organisationOf(job), *workers,
+                                    job.GangShape.AcceleratorsPerMember)))
       return workers;
   }
   return std::nullopt;
 }
 
-std::optional<ClusterState::Plan>
-ClusterState::planReclaim(const core::JobRequest &job, bool firm,
-                          const std::set<RunId> &yielding, absl::Time now,
-                          const std::set<std::string> &avoid) const {
-  const std::vector<const Allocation *> candidates = victims(job, firm);
-  // What is being stopped already will be free soon; if its room is spoken
-  // for, that is counted as used by the gang that waits for it.
-  std::set<RunId> ending;
+std::optional<ClusterState::PlacementPlan> ClusterState::planPreemption(
+    const core::JobRequest &job, bool usesSlots,
+    const std::set<RunId> &ownVictims, absl::Time now,
+    const std::set<std::string> &avoidedWorkers) const {
+  const std::vector<const Allocation *> candidates =
+      preemptionCandidates(job, usesSlots);
+  // The accelerators of gangs that are being stopped are free soon. If another
+  // gang already waits for them, they count as used by that gang.
+  std::set<RunId> stoppingRuns;
   for (const auto &[run, gang] : Gangs)
     if (gang.Stopping)
-      ending.insert(run);
-  std::optional<Assignment> workers;
-  // Free ever more of the borrowers until the whole gang fits; doubling keeps
-  // the number of placements logarithmic in the number of borrowers.
+      stoppingRuns.insert(run);
+  std::optional<Assignment> assignment;
+  // Preempt more and more of the candidates until the whole gang fits. Doubling
+  // keeps the number of placement attempts logarithmic in the number of
+  // candidates.
   for (size_t n = 0;; n = n == 0 ? 1 : n * 2) {
-    std::set<RunId> without = yielding;
-    without.insert(ending.begin(), ending.end());
+    std::set<RunId> excludedRuns = ownVictims;
+    excludedRuns.insert(stoppingRuns.begin(), stoppingRuns.end());
     for (size_t i = 0; i < std::min(n, candidates.size()); ++i)
-      without.insert(candidates[i]->Run);
-    const auto offers = offer(now, job.Idempotent, avoid, without);
-    workers =
-        firm ? placeFirm(job, offers, without) : Place(offers, job.GangShape);
-    if (workers || n >= candidates.size())
+      excludedRuns.insert(candidates[i]->Run);
+    const auto available =
+        availableWorkers(now, job.Idempotent, avoidedWorkers, excludedRuns);
+    assignment = usesSlots ? placeInSlots(job, available, excludedRuns)
+                           : Place(available, job.GangShape);
+    if (assignment || n >= candidates.size())
       break;
   }
-  if (!workers)
+  if (!assignment)
     return std::nullopt;
-  std::vector<const Allocation *> order;
-  order.reserve(ending.size() + candidates.size());
-  for (const RunId &run : ending)
-    order.push_back(allocation(run));
-  order.insert(order.end(), candidates.begin(), candidates.end());
-  Plan plan{*workers, neededVictims(job, *workers, yielding, order)};
-  const int64_t want = expectedWatts(job);
-  for (const Allocation *gang : order) {
-    if (committedWatts(plan.Victims) + want <= powerCapWatts())
+  std::vector<const Allocation *> stopOrder;
+  stopOrder.reserve(stoppingRuns.size() + candidates.size());
+  for (const RunId &run : stoppingRuns)
+    stopOrder.push_back(allocation(run));
+  stopOrder.insert(stopOrder.end(), candidates.begin(), candidates.end());
+  PlacementPlan plan{*assignment,
+                     selectVictims(job, *assignment, ownVictims, stopOrder)};
+  const int64_t neededWatts = expectedWatts(job);
+  for (const Allocation *gang : stopOrder) {
+    if (committedWatts(plan.Victims) + neededWatts <= powerCapWatts())
       break;
-    if (gang->Stopping || !withinGuarantee(tenantOf(gang->Job)))
+    if (gang->Stopping || !isWithinGuarantee(organisationOf(gang->Job)))
       plan.Victims.insert(gang->Run);
   }
-  if (committedWatts(plan.Victims) + want > powerCapWatts())
+  if (committedWatts(plan.Victims) + neededWatts > powerCapWatts())
     return std::nullopt;
   return plan;
 }
 
-const Allocation &ClusterState::commit(const RunId &run,
-                                       const core::JobRequest &job, Plan plan,
-                                       Footing footing) {
+const Allocation &ClusterState::commitPlan(const RunId &run,
+                                           const core::JobRequest &job,
+                                           PlacementPlan plan,
+                                           CapacitySource source) {
   Allocation gang;
   gang.Run = run;
   gang.Job = job;
@@ -251,87 +268,92 @@
   gang.Order = NextOrder++;
   for (const std::string &w : gang.Workers)
     Workers.at(w).Used += job.GangShape.AcceleratorsPerMember;
-  // The organisation's own batch work gives its slots to its urgent gang now;
-  // it keeps the accelerators until it has stopped.
+  // The organisation's own batch work gives up its slots to its urgent gang
+  // now, but keeps the accelerators until it has stopped.
   for (const RunId &victim : gang.WaitsFor)
-    leaveSlots(Gangs.at(victim));
-  Allocation &kept = Gangs[run] = std::move(gang);
-  if (footing == Footing::SharedRoom)
-    takeSharedRoom(kept);
-  if (footing == Footing::Slots) {
-    if (auto slots = planSlots(tenantOf(job), kept.Workers,
+    releaseSlots(Gangs.at(victim));
+  Allocation &stored = Gangs[run] = std::move(gang);
+  if (source == CapacitySource::SharedRoom)
+    assignSharedCapacity(stored);
+  if (source == CapacitySource::Slots) {
+    if (auto slots = planSlots(organisationOf(job), stored.Workers,
                                job.GangShape.AcceleratorsPerMember))
-      takeSlots(kept, *slots);
+      assignSlots(stored, *slots);
     else if (!job.Idempotent)
-      takeSharedRoom(kept);
+      assignSharedCapacity(stored);
   }
-  return kept;
+  return stored;
 }
 
 std::variant<Allocation, Refusal>
 ClusterState::admit(const RunId &run, const core::JobRequest &job,
-                    absl::Time now, const std::set<std::string> &avoid) {
-  const core::Profile *prof = profile(job.Profile);
-  if (prof == nullptr)
+                    absl::Time now,
+                    const std::set<std::string> &avoidedWorkers) {
+  const core::Profile *profileInForce = profile(job.Profile);
+  if (profileInForce == nullptr)
     return Refusal{NotRunReason::UnknownProfile,
                    "no accepted profile named '" + job.Profile + "'",
                    RetryAfterMs};
-  if (auto refusal = neverFits(job, *prof, now))
+  if (auto refusal = refusalIfNeverFits(job, *profileInForce, now))
     return *refusal;
-  layOut();
+  updateSlotLayout();
 
   const core::Shape &shape = job.GangShape;
-  const int limit = guaranteed(tenantOf(job));
-  const int over = firmUse(tenantOf(job)) + shape.accelerators() - limit;
+  const int guarantee = guaranteedTo(organisationOf(job));
+  const int overGuarantee =
+      usedInSlots(organisationOf(job)) + shape.accelerators() - guarantee;
   const bool powerFits =
       committedWatts({}) + expectedWatts(job) <= powerCapWatts();
-  const std::vector<FreeWorker> offers = offer(now, job.Idempotent, avoid, {});
-  const std::optional<Assignment> anywhere = Place(offers, shape);
-  if (powerFits && over <= 0) {
-    if (anywhere &&
-        planSlots(tenantOf(job), *anywhere, shape.AcceleratorsPerMember))
-      return commit(run, job, {*anywhere, {}}, Footing::Slots);
-    if (auto room = placeFirm(job, offers, {}))
-      return commit(run, job, {*room, {}}, Footing::Slots);
+  const std::vector<FreeWorker> available =
+      availableWorkers(now, job.Idempotent, avoidedWorkers, {});
+  const std::optional<Assignment> unrestricted = Place(available, shape);
+  if (powerFits && overGuarantee <= 0) {
+    if (unrestricted && planSlots(organisationOf(job), *unrestricted,
+                                  shape.AcceleratorsPerMember))
+      return commitPlan(run, job, {*unrestricted, {}}, CapacitySource::Slots);
+    if (auto chosenWorkers = placeInSlots(job, available, {}))
+      return commitPlan(run, job, {*chosenWorkers, {}}, CapacitySource::Slots);
   }
-  if (powerFits && anywhere && job.Idempotent)
-    return commit(run, job, {*anywhere, {}}, Footing::Borrowed);
-  if (powerFits && anywhere) {
-    std::vector<FreeWorker> shared = offers;
-    for (FreeWorker &w : shared)
+  if (powerFits && unrestricted && job.Idempotent)
+    return commitPlan(run, job, {*unrestricted, {}}, CapacitySource::Borrowed);
+  if (powerFits && unrestricted) {
+    std::vector<FreeWorker> sharedOnly = available;
+    for (FreeWorker &w : sharedOnly)
       w.FreeAccelerators =
           std::clamp(Workers.at(w.Id).unreserved(), 0, w.FreeAccelerators);
-    if (auto room = Place(shared, shape))
-      return commit(run, job, {*room, {}}, Footing::SharedRoom);
+    if (auto chosenWorkers = Place(sharedOnly, shape))
+      return commitPlan(run, job, {*chosenWorkers, {}},
+                        CapacitySource::SharedRoom);
   }
 
-  // No room as things are: take back what is lent out, and let urgent work
-  // displace batch work of its own organisation and of borrowers.
-  std::set<RunId> yielding;
-  bool entitled = over <= 0;
-  if (!entitled && job.Class == JobClass::Urgent &&
-      shape.accelerators() <= limit)
-    if (auto own = ownBatchToYield(job, over)) {
-      yielding = *own;
-      entitled = true;
+  // There is not enough free capacity. Reclaim borrowed capacity, and let
+  // urgent work preempt batch work of its own organisation and of borrowers.
+  std::set<RunId> ownVictims;
+  bool canClaimSlots = overGuarantee <= 0;
+  if (!canClaimSlots && job.Class == JobClass::Urgent &&
+      shape.accelerators() <= guarantee)
+    if (auto ownBatch = ownBatchToPreempt(job, overGuarantee)) {
+      ownVictims = *ownBatch;
+      canClaimSlots = true;
     }
-  if (entitled)
-    if (auto plan = planReclaim(job, true, yielding, now, avoid))
-      return commit(run, job, std::move(*plan), Footing::Slots);
+  if (canClaimSlots)
+    if (auto plan = planPreemption(job, true, ownVictims, now, avoidedWorkers))
+      return commitPlan(run, job, std::move(*plan), CapacitySource::Slots);
   if (job.Class == JobClass::Urgent && job.Idempotent)
-    if (auto plan = planReclaim(job, false, {}, now, avoid))
-      return commit(run, job, std::move(*plan), Footing::Borrowed);
+    if (auto plan = planPreemption(job, false, {}, now, avoidedWorkers))
+      return commitPlan(run, job, std::move(*plan), CapacitySource::Borrowed);
 
-  if (!anywhere)
+  if (!unrestricted)
     return Refusal{NotRunReason::NoCapacity,
-                   "no room for the whole gang at present", RetryAfterMs};
+                   "not enough free capacity for the whole gang at present",
+                   RetryAfterMs};
   if (!powerFits)
     return Refusal{NotRunReason::PowerCap,
-                   "running work leaves too little of the power cap",
+                   "running work leaves too little power below the cap",
                    RetryAfterMs};
   return Refusal{NotRunReason::OverGuarantee,
-                 "the free room is kept for other organisations' guarantees "
-                 "and a non-idempotent gang cannot be stopped to give it back",
+                 "the free capacity is guaranteed to other organisations, and "
+                 "a non-idempotent gang cannot be stopped to return it",
                  RetryAfterMs};
 }
 
@@ -342,29 +364,30 @@
       watts += gang.chargedWatts();
   if (watts <= powerCapWatts())
     return {};
-  std::vector<const Allocation *> order;
+  std::vector<const Allocation *> stopOrder;
   for (const auto &[run, gang] : Gangs)
     if (gang.WaitsFor.empty() && !gang.Stopping)
-      order.push_back(&gang);
-  // Borrowers go before firm gangs, batch before urgent, work that can be
-  // started again before work that cannot, and the latest started first.
+      stopOrder.push_back(&gang);
+  // Stop idempotent gangs before those that cannot be started again, then gangs
+  // that borrow before non-preemptible ones, then batch before urgent, and then
+  // the latest started first.
   auto rank = [](const Allocation *g) {
     return (g->Job.Idempotent ? 0 : 4) + (g->firm() ? 2 : 0) +
            (g->Job.Class == JobClass::Urgent ? 1 : 0);
   };
-  std::sort(order.begin(), order.end(),
+  std::sort(stopOrder.begin(), stopOrder.end(),
             [&](const Allocation *a, const Allocation *b) {
               return rank(a) != rank(b) ? rank(a) < rank(b)
                                         : a->Order > b->Order;
             });
-  std::vector<RunId> out;
-  for (const Allocation *gang : order) {
+  std::vector<RunId> victimRuns;
+  for (const Allocation *gang : stopOrder) {
     if (watts <= powerCapWatts())
       break;
     watts -= gang->chargedWatts();
-    out.push_back(gang->Run);
+    victimRuns.push_back(gang->Run);
   }
-  return out;
+  return victimRuns;
 }
 
 } // namespace oriolebay::placement
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -7,8 +7,8 @@
 namespace oriolebay::placement {
 
 namespace {
-// How much of an organisation's overdraw is forgotten with each new report,
-// so that one bad job does not raise its charges for ever.
+// Factor by which an organisation's overdraw ratio decays with each new report,
+// so that one bad job does not raise its charges forever.
 constexpr double OverdrawDecay = 0.98;
 } // namespace
 
@@ -20,20 +20,20 @@
 std::vector<RunId> ClusterState::upsertWorker(const core::WorkerInfo &info,
                                               int64_t incarnation,
                                               absl::Time now) {
-  std::vector<RunId> gone;
+  std::vector<RunId> affectedRuns;
   auto it = Workers.find(info.Id);
   if (it != Workers.end() && it->second.Incarnation == incarnation) {
     it->second.LastSeen = now;
-    it->second.Silent = false;
-    return gone;
+    it->second.Unresponsive = false;
+    return affectedRuns;
   }
-  // A late announcement of the incarnation before this one must not bring the
-  // old worker back: incarnations are start times, so the lower is older.
+  // A late announcement of an earlier incarnation must not restore the old
+  // worker. Incarnations are start times, so the lower one is older.
   if (it != Workers.end() && it->second.Incarnation > incarnation)
-    return gone;
+    return affectedRuns;
   if (it != Workers.end())
-    dropMembers(info.Id, gone);
-  LayoutDirty = true;
+    clearMembers(info.Id, affectedRuns);
+  SlotLayoutDirty = true;
   Worker worker;
   worker.Info = info;
   worker.Incarnation = incarnation;
@@ -42,23 +42,25 @@
     worker.Reserved = it->second.Reserved;
     worker.SlotIds = it->second.SlotIds;
   }
-  if (auto use = Awaited.extract(info.Id)) {
+  if (auto use = UnannouncedUse.extract(info.Id)) {
     worker.Used = use.mapped().Used;
     worker.SharedUse = use.mapped().Shared;
   }
   Workers[info.Id] = worker;
-  Departed.erase(info.Id);
-  return gone;
+  LostWorkers.erase(info.Id);
+  return affectedRuns;
 }
 
-// Changes what is used on a worker, known or awaited.
-void ClusterState::addUse(const std::string &workerId, int used, int shared) {
+// Changes the accelerators in use on a worker, whether it has announced itself
+// or not.
+void ClusterState::adjustUse(const std::string &workerId, int used,
+                             int shared) {
   auto it = Workers.find(workerId);
   if (it != Workers.end()) {
     it->second.Used += used;
     it->second.SharedUse += shared;
   } else if (!workerId.empty()) {
-    Use &use = Awaited[workerId];
+    WorkerUse &use = UnannouncedUse[workerId];
     use.Used += used;
     use.Shared += shared;
   }
@@ -73,41 +75,42 @@
   gang.ExpectedWatts = expectedWatts(job);
   gang.Order = NextOrder++;
   for (const std::string &w : workers)
-    addUse(w, job.GangShape.AcceleratorsPerMember, 0);
+    adjustUse(w, job.GangShape.AcceleratorsPerMember, 0);
   gang.Slots.assign(workers.size(), Allocation::Borrowed);
-  Allocation &kept = Gangs[run] = std::move(gang);
+  Allocation &stored = Gangs[run] = std::move(gang);
   if (!job.Idempotent)
-    takeSharedRoom(kept);
-  LayoutDirty = true;
+    assignSharedCapacity(stored);
+  SlotLayoutDirty = true;
 }
 
-void ClusterState::dropMembers(const std::string &workerId,
-                               std::vector<RunId> &runs) {
+// Clears the members on a worker that is gone and adds their runs to runs.
+void ClusterState::clearMembers(const std::string &workerId,
+                                std::vector<RunId> &runs) {
   for (auto &[run, gang] : Gangs) {
-    bool had = false;
+    bool hasMember = false;
     for (size_t m = 0; m < gang.Workers.size(); ++m)
       if (gang.Workers[m] == workerId) {
-        leaveSlot(gang, m);
+        releaseSlot(gang, m);
         gang.Workers[m].clear();
-        had = true;
+        hasMember = true;
       }
-    if (had)
+    if (hasMember)
       runs.push_back(run);
   }
 }
 
 void ClusterState::markLeaving(const std::string &workerId) {
   auto it = Workers.find(workerId);
-  if (it != Workers.end() && !std::exchange(it->second.Leaving, true))
-    LayoutDirty = true;
+  if (it != Workers.end() && !std::exchange(it->second.Draining, true))
+    SlotLayoutDirty = true;
 }
 
 std::vector<RunId> ClusterState::findSilent(absl::Time now,
                                             absl::Duration timeout) {
   std::set<std::string> silent;
   for (auto &[id, w] : Workers)
-    if (!w.Silent && now - w.LastSeen > timeout) {
-      w.Silent = true;
+    if (!w.Unresponsive && now - w.LastSeen > timeout) {
+      w.Unresponsive = true;
       silent.insert(id);
     }
   std::vector<RunId> runs;
@@ -128,12 +131,12 @@
       ++it;
       continue;
     }
-    dropMembers(it->first, runs);
+    clearMembers(it->first, runs);
     for (int64_t id : it->second.SlotIds)
       Slots.at(id).WorkerId.clear();
-    Departed[it->first] = {it->second.Info, now};
+    LostWorkers[it->first] = {it->second.Info, now};
     it = Workers.erase(it);
-    LayoutDirty = true;
+    SlotLayoutDirty = true;
   }
   return runs;
 }
@@ -146,20 +149,21 @@
   Worker &w = it->second;
   if (ok) {
     w.Failures = 0;
-    w.KeptOutFor = absl::ZeroDuration();
+    w.QuarantineDuration = absl::ZeroDuration();
     return;
   }
-  // A worker whose hardware is broken takes every task and fails it at once,
-  // so it always looks free and draws in more work. After a few failures in a
-  // row it is kept out; one idempotent gang then probes it, and each failed
-  // probe doubles the time.
+  // A worker with broken hardware accepts every task and fails it at once, so
+  // it always appears free and attracts more work. After a few consecutive
+  // failures it is quarantined. One idempotent gang then probes it, and each
+  // failed probe doubles the quarantine.
   ++w.Failures;
   if (w.Failures < Quarantine.FailuresInARow)
     return;
-  w.KeptOutFor = w.KeptOutFor == absl::ZeroDuration()
-                     ? Quarantine.First
-                     : std::min(Quarantine.Longest, w.KeptOutFor * 2);
-  w.KeptOutUntil = now + w.KeptOutFor;
+  w.QuarantineDuration =
+      w.QuarantineDuration == absl::ZeroDuration()
+          ? Quarantine.First
+          : std::min(Quarantine.Longest, w.QuarantineDuration * 2);
+  w.QuarantinedUntil = now + w.QuarantineDuration;
 }
 
 void ClusterState::recordUsage(const RunId &run, int64_t watts) {
@@ -170,7 +174,7 @@
   const int64_t declared = it->second.Job.GangShape.powerWatts();
   if (declared <= 0)
     return;
-  double &ratio = Overdraw[it->second.Job.Organisation];
+  double &ratio = OverdrawRatios[it->second.Job.Organisation];
   ratio = std::max(static_cast<double>(watts) / static_cast<double>(declared),
                    ratio * OverdrawDecay);
 }
@@ -180,7 +184,7 @@
   if (it != Profiles.end() && it->second.Version >= profile.Version)
     return false;
   Profiles[profile.Name] = profile;
-  LayoutDirty = true;
+  SlotLayoutDirty = true;
   return true;
 }
 
@@ -215,71 +219,74 @@
   auto it = Gangs.find(run);
   if (it == Gangs.end())
     return ready;
-  leaveSlots(it->second);
+  releaseSlots(it->second);
   const int width = it->second.Job.GangShape.AcceleratorsPerMember;
   for (const std::string &w : it->second.Workers)
-    addUse(w, -width, 0);
-  const Tenant tenant = tenantOf(it->second.Job);
+    adjustUse(w, -width, 0);
+  const OrganisationKey organisation = organisationOf(it->second.Job);
   Gangs.erase(it);
   for (auto &[other, gang] : Gangs)
     if (gang.WaitsFor.erase(run) != 0 && gang.WaitsFor.empty())
       ready.push_back(other);
-  promote(tenant);
+  assignFreeSlots(organisation);
   return ready;
 }
 
-int ClusterState::guaranteed(const Tenant &tenant) const {
-  const core::Profile *p = profile(tenant.first);
-  return p == nullptr ? 0 : p->guaranteedAccelerators(tenant.second);
+int ClusterState::guaranteedTo(const OrganisationKey &organisation) const {
+  const core::Profile *p = profile(organisation.first);
+  return p == nullptr ? 0 : p->guaranteedAccelerators(organisation.second);
 }
 
 bool ClusterState::quarantined(const std::string &workerId,
                                absl::Time now) const {
   auto it = Workers.find(workerId);
-  return it != Workers.end() && it->second.KeptOutUntil > now;
+  return it != Workers.end() && it->second.QuarantinedUntil > now;
 }
 
-bool ClusterState::offered(const Worker &worker, absl::Time now,
-                           bool mayProbe) const {
-  if (worker.Leaving || worker.Silent || worker.KeptOutUntil > now)
+// Whether new work can be placed on the worker. After a quarantine the first
+// gang on it is a probe: it must be idempotent (mayProbe) and the worker
+// otherwise unused.
+bool ClusterState::isAvailable(const Worker &worker, absl::Time now,
+                               bool canProbe) const {
+  if (worker.Draining || worker.Unresponsive || worker.QuarantinedUntil > now)
     return false;
-  const bool probing = worker.KeptOutFor > absl::ZeroDuration();
-  return !probing || (mayProbe && worker.Used == 0);
+  const bool probing = worker.QuarantineDuration > absl::ZeroDuration();
+  return !probing || (canProbe && worker.Used == 0);
 }
 
 std::vector<FreeWorker> ClusterState::freeWorkers(absl::Time now) const {
-  return offer(now, true, {}, {});
+  return availableWorkers(now, true, {}, {});
 }
 
 std::vector<FreeWorker>
-ClusterState::offer(absl::Time now, bool mayProbe,
-                    const std::set<std::string> &avoid,
-                    const std::set<RunId> &without) const {
-  absl::flat_hash_map<std::string, int> given;
-  for (const RunId &run : without) {
+ClusterState::availableWorkers(absl::Time now, bool canProbe,
+                               const std::set<std::string> &avoidedWorkers,
+                               const std::set<RunId> &excludedRuns) const {
+  absl::flat_hash_map<std::string, int> freed;
+  for (const RunId &run : excludedRuns) {
     const Allocation *gang = allocation(run);
     if (gang != nullptr)
       for (const std::string &w : gang->Workers)
-        given[w] += gang->Job.GangShape.AcceleratorsPerMember;
+        freed[w] += gang->Job.GangShape.AcceleratorsPerMember;
   }
-  std::vector<FreeWorker> out;
-  out.reserve(Workers.size());
+  std::vector<FreeWorker> available;
+  available.reserve(Workers.size());
   for (const auto &[id, w] : Workers) {
-    if (!offered(w, now, mayProbe) || avoid.count(id) != 0)
+    if (!isAvailable(w, now, canProbe) || avoidedWorkers.count(id) != 0)
       continue;
-    auto it = given.find(id);
+    auto it = freed.find(id);
     const int free =
-        w.Info.Accelerators - w.Used + (it == given.end() ? 0 : it->second);
-    out.push_back(
+        w.Info.Accelerators - w.Used + (it == freed.end() ? 0 : it->second);
+    available.push_back(
         FreeWorker{id, w.Info.FailureDomain, w.Info.Rack, std::max(0, free)});
   }
-  return out;
+  return available;
 }
 
 int ClusterState::freeAccelerators() const {
   int n = 0;
   for (const auto &[id, w] : Workers)
-    if (!w.Leaving)
+    if (!w.Draining)
       n += std::max(0, w.Info.Accelerators - w.Used);
   return n;
 }
@@ -300,30 +307,30 @@
     int Free = 0;
     std::vector<std::string> Ids;
   };
-  auto best = [&](auto keyOf) {
+  auto bestGroup = [&](auto keyOf) {
     std::map<std::string, Group> groups;
     for (const auto &[id, w] : Workers) {
-      if (!offered(w, now, true))
+      if (!isAvailable(w, now, true))
         continue;
-      Group &g = groups[keyOf(w.Info)];
-      g.Capacity += w.Info.Accelerators / shape.AcceleratorsPerMember;
-      g.Free += std::max(0, w.Info.Accelerators - w.Used);
-      g.Ids.push_back(id);
+      Group &group = groups[keyOf(w.Info)];
+      group.Capacity += w.Info.Accelerators / shape.AcceleratorsPerMember;
+      group.Free += std::max(0, w.Info.Accelerators - w.Used);
+      group.Ids.push_back(id);
     }
     const Group *chosen = nullptr;
-    for (const auto &[key, g] : groups)
-      if (g.Capacity >= shape.Members &&
-          (chosen == nullptr || g.Free > chosen->Free))
-        chosen = &g;
+    for (const auto &[key, group] : groups)
+      if (group.Capacity >= shape.Members &&
+          (chosen == nullptr || group.Free > chosen->Free))
+        chosen = &group;
     return chosen == nullptr
                ? std::set<std::string>()
                : std::set<std::string>(chosen->Ids.begin(), chosen->Ids.end());
   };
-  auto rack = best(
+  auto rack = bestGroup(
       [](const core::WorkerInfo &w) { return w.FailureDomain + "/" + w.Rack; });
   if (!rack.empty())
     return rack;
-  return best([](const core::WorkerInfo &w) { return w.FailureDomain; });
+  return bestGroup([](const core::WorkerInfo &w) { return w.FailureDomain; });
 }
 
 } // namespace oriolebay::placement
--- a/src/libs/placement/clusterstate.h
+++ b/src/libs/placement/clusterstate.h
@@ -20,118 +20,135 @@
 
 namespace oriolebay::placement {
 
-/// Names one run of a gang: a gang that is stopped and started again gets a
-/// new run id, so that late messages of an earlier run match nothing.
+/// Identifies one run of a gang. A gang that is stopped and started again gets
+/// a new run id, so that late messages about an earlier run match no run.
 using RunId = std::string;
 
-/// A gang that holds accelerators: where each member runs (empty once that
-/// worker is gone) and what it draws.
+/// A gang that uses accelerators: the worker of each member (empty once that
+/// worker is lost) and the power that the gang is charged.
 struct Allocation {
   RunId Run;
   core::JobRequest Job;
   Assignment Workers;
-  /// For each member the guarantee slot it stands in, SharedRoom, or Borrowed.
+  /// For each member the id of the guarantee slot that it uses, or SharedRoom,
+  /// or Borrowed.
   std::vector<int64_t> Slots;
-  /// A stop has been asked for; the room is not free until the gang ended.
+  /// A stop was requested. The gang's accelerators stay in use until it has
+  /// ended.
   bool Stopping = false;
-  /// Runs that must end before this gang may start.
+  /// Runs that must end before this gang is started.
   std::set<RunId> WaitsFor;
-  /// Watts expected from declaration and past overdraw, and watts measured.
+  /// The power expected from the job's declaration and the organisation's past
+  /// overdraw, and the power measured, in watts.
   int64_t ExpectedWatts = 0;
   int64_t MeasuredWatts = 0;
+  /// Ascending in the order of admission.
   int64_t Order = 0;
 
-  /// Member values of Slots besides slot numbers. A gang that borrows is
-  /// stopped when a guarantee is claimed; one in shared room (which nobody is
-  /// guaranteed) or in its organisation's slots is not.
+  /// Values of Slots that are no slot ids. A gang that borrows is stopped when
+  /// the organisation that is guaranteed the capacity claims it. A gang in
+  /// shared capacity, which is guaranteed to nobody, or in its organisation's
+  /// slots is not stopped for that.
   static constexpr int64_t Borrowed = 0;
   static constexpr int64_t SharedRoom = -1;
+  /// Whether the gang cannot be preempted when a guarantee is claimed.
   bool firm() const {
     return std::any_of(Slots.begin(), Slots.end(),
                        [](int64_t s) { return s != Borrowed; });
   }
-  /// What the gang is charged against the power cap.
+  /// The power that the gang is charged against the power cap, in watts.
   int64_t chargedWatts() const {
     return std::max(ExpectedWatts, MeasuredWatts);
   }
   auto operator<=>(const Allocation &) const = default;
 };
 
-/// Why admission said no, with when to come back (zero: never).
+/// Why a job was not admitted, and after how many milliseconds a new attempt
+/// makes sense (zero: never).
 struct Refusal {
   core::NotRunReason Reason = core::NotRunReason::None;
   std::string Detail;
   int64_t RetryAfterMs = 0;
 };
 
-/// How often a worker must fail in a row, on different gangs, before it is
-/// kept out, and for how long at first; the time doubles up to the maximum.
+/// Number of consecutive task failures after which a worker is quarantined, and
+/// the duration of its first quarantine. The duration doubles with each further
+/// failure, up to the maximum.
 struct QuarantinePolicy {
   int FailuresInARow = 3;
   absl::Duration First = absl::Seconds(2);
   absl::Duration Longest = absl::Seconds(60);
 };
 
-/// The site as one scheduler sees it: workers, the gangs on them, what each
-/// organisation uses, and the power committed. Owned by one thread; not safe
-/// to share. The rules it keeps are in docs/PLACEMENT.md:
-/// a gang is placed whole; the charged power of all gangs stays under the cap;
-/// and each guaranteed member has a slot on one worker, in which nothing stands
-/// but its organisation's own gangs and gangs that borrow.
+/// The state of the site from one scheduler's view: the workers, the gangs on
+/// them, the use by each organisation, and the power committed. Owned by one
+/// thread; not thread-safe. It keeps the rules of docs/PLACEMENT.md: a gang is
+/// placed as a whole; the charged power of all gangs stays below the cap; and
+/// each guaranteed member has a slot on one worker, which is used only by its
+/// organisation's own gangs and by gangs that borrow.
 class ClusterState {
 public:
   ClusterState(Placer placer, int64_t retryAfterMs,
                QuarantinePolicy quarantine = {});
 
-  /// Adds or refreshes a worker. Returns the runs whose members on it are
-  /// gone because the worker came back with a new incarnation: its agent
-  /// restarted and stopped what was left before it announced itself.
+  /// Adds a worker or records that it is still alive. If the worker announces a
+  /// new incarnation, returns the runs that had members on the earlier one:
+  /// those members are gone, because an agent that restarts stops the remaining
+  /// tasks before it announces itself.
   std::vector<RunId> upsertWorker(const core::WorkerInfo &info,
                                   int64_t incarnation, absl::Time now);
-  /// The worker gets no new work from now on.
+  /// Places no new work on the worker from now on, because it drains.
   void markLeaving(const std::string &workerId);
-  /// Runs on workers that went silent (no announcement for timeout) since the
-  /// last call. Such a worker gets no new work, but what runs on it stays
-  /// charged: it may be cut off and still running.
+  /// Marks workers without an announcement for longer than timeout as
+  /// unresponsive, and returns the runs on those that were not marked before.
+  /// An unresponsive worker gets no new work, but the tasks on it stay charged:
+  /// it may be partitioned from this entry and still run them.
   std::vector<RunId> findSilent(absl::Time now, absl::Duration timeout);
-  /// Removes workers silent for longer than lease, after which their tasks
-  /// have certainly been stopped, and returns the runs that had members there.
+  /// Removes workers without an announcement for longer than lease, after which
+  /// their tasks have certainly been stopped, and returns the runs that had
+  /// members there.
   std::vector<RunId> expireWorkers(absl::Time now, absl::Duration lease);
-  /// Counts the end of a task on a worker, for keeping out workers that fail
-  /// every task.
+  /// Records the result of a task on a worker, in order to quarantine workers
+  /// that fail every task.
   void recordTaskEnd(const std::string &workerId, bool ok, absl::Time now);
-  /// Takes the measured watts of all members of run.
+  /// Records the measured power of all members of run, in watts.
   void recordUsage(const RunId &run, int64_t watts);
 
-  /// Accepts profile when it is newer than the one held; false when stale.
+  /// Applies profile if it is newer than the current one of that name. Returns
+  /// false if it is stale.
   bool applyProfile(const core::Profile &profile);
   const core::Profile *profile(const std::string &name) const;
-  /// The site's power cap: the smallest among the profiles in force.
+  /// The site's power cap in watts: the smallest cap among the profiles in
+  /// force.
   int64_t powerCapWatts() const;
-  /// Charged watts of every gang that runs or is being stopped.
+  /// Charged power of all gangs that run or are being stopped, in watts.
   int64_t runningWatts() const;
 
-  /// Places job under run, or says why not. A gang that needs borrowed room
-  /// back comes out with WaitsFor set: the caller stops those runs and starts
-  /// the gang once ready() names it. Workers in avoid are not used.
+  /// Places job under the given run id, or returns why it cannot be placed. If
+  /// borrowed capacity must be reclaimed first, WaitsFor of the result is not
+  /// empty: the caller stops those runs and starts the gang once release()
+  /// returns its run id. Does not use workers in avoidedWorkers.
   std::variant<Allocation, Refusal>
   admit(const RunId &run, const core::JobRequest &job, absl::Time now,
-        const std::set<std::string> &avoid = {});
-  /// Takes over a run that an earlier leader placed: it is charged as running
-  /// on its workers, also on those that have not announced themselves yet.
+        const std::set<std::string> &avoidedWorkers = {});
+  /// Takes over a run that was placed by an earlier leader. It is charged as
+  /// running on its workers, including those that have not announced themselves
+  /// yet.
   void adopt(const RunId &run, const core::JobRequest &job,
              const Assignment &workers);
-  /// Notes that a stop of run was asked for.
+  /// Records that a stop of run was requested.
   void markStopping(const RunId &run);
-  /// Gives back what run holds; unknown runs are ignored. Returns the gangs
-  /// that waited for it and may start now.
+  /// Frees the accelerators and slots of run; ignores unknown runs. Returns the
+  /// gangs that waited for the end of this run only and can be started now.
   std::vector<RunId> release(const RunId &run);
-  /// Runs to stop so that the charged power falls under the cap again, after
-  /// the cap was lowered or tasks were measured above their declaration.
+  /// Returns the runs to stop so that the charged power falls to the cap again,
+  /// after the cap was lowered or tasks were measured above their declaration.
   std::vector<RunId> shedForPower() const;
 
-  /// Workers to keep free of other work so that shape finds room: those of
-  /// the rack (else domain, else site) that is closest to holding it.
+  /// The workers to keep free of other work so that a gang of the given shape
+  /// can be placed: those of the rack (else of the failure domain) with the
+  /// most free accelerators among those that could hold the gang when empty.
+  /// Empty if no group of workers could.
   std::set<std::string> drainTarget(const core::Shape &shape,
                                     absl::Time now) const;
 
@@ -143,9 +160,10 @@
   const std::map<RunId, Allocation> &allocations() const { return Gangs; }
   bool workerKnown(const std::string &workerId) const;
   bool quarantined(const std::string &workerId, absl::Time now) const;
-  /// Accelerators of guarantees that have no slot now; above zero only while
-  /// workers are missing, the profiles promise more than the site has, or
-  /// non-idempotent gangs still hold what a guarantee was raised over.
+  /// Number of guaranteed accelerators whose slots are on no worker now. It is
+  /// above zero only while workers are missing, while the profiles guarantee
+  /// more than the site has, or while non-idempotent gangs still use capacity
+  /// that a raised guarantee claims.
   int guaranteeDeficit();
 
 private:
@@ -153,116 +171,123 @@
     core::WorkerInfo Info;
     int64_t Incarnation = 0;
     int Used = 0;
-    /// Width of the guarantee slots here, and use by gangs in shared room.
+    /// Accelerators in guarantee slots on this worker, and accelerators used by
+    /// gangs in shared capacity.
     int Reserved = 0;
     int SharedUse = 0;
     std::vector<int64_t> SlotIds;
     int unreserved() const { return Info.Accelerators - Reserved - SharedUse; }
-    bool Leaving = false;
-    bool Silent = false;
+    bool Draining = false;
+    bool Unresponsive = false;
     absl::Time LastSeen;
     int Failures = 0;
-    absl::Time KeptOutUntil = absl::InfinitePast();
-    absl::Duration KeptOutFor = absl::ZeroDuration();
+    absl::Time QuarantinedUntil = absl::InfinitePast();
+    absl::Duration QuarantineDuration = absl::ZeroDuration();
   };
-  /// One organisation under one profile.
-  using Tenant = std::pair<std::string, std::string>;
-  /// One guaranteed member: Width accelerators on one worker (none while no
-  /// worker has room), of which the owner's firm gangs use some.
+  /// The name of a profile and of an organisation that has guarantees in it.
+  using OrganisationKey = std::pair<std::string, std::string>;
+  /// Capacity for one guaranteed member: Width accelerators on one worker, of
+  /// which the organisation's non-preemptible gangs use some. WorkerId is empty
+  /// while no worker has enough free capacity.
   struct Slot {
-    Tenant Owner;
+    OrganisationKey Owner;
     int Width = 0;
     int Used = 0;
     std::string WorkerId;
   };
-  /// How a gang would stand in its organisation's slots: the slot of each
-  /// member, and unused slots that move to other workers for it, in exchange
-  /// for another's slot of the same width if need be.
+  /// How a gang would use its organisation's slots: the slot of each member,
+  /// and the unused slots that move to other workers for that purpose, if
+  /// necessary in exchange for another organisation's slot of the same width.
   struct SlotPlan {
     std::vector<int64_t> Slots;
     std::map<int64_t, std::string> Moves;
   };
-  struct Plan {
+  struct PlacementPlan {
     Assignment Workers;
     std::set<RunId> Victims;
   };
 
-  static Tenant tenantOf(const core::JobRequest &job) {
+  static OrganisationKey organisationOf(const core::JobRequest &job) {
     return {job.Profile, job.Organisation};
   }
-  int guaranteed(const Tenant &tenant) const;
-  int firmUse(const Tenant &tenant) const;
-  bool withinGuarantee(const Tenant &tenant) const;
-  void layOut();
-  void syncSlots(const Tenant &tenant, const core::Guarantee *guarantee);
+  int guaranteedTo(const OrganisationKey &organisation) const;
+  int usedInSlots(const OrganisationKey &organisation) const;
+  bool isWithinGuarantee(const OrganisationKey &organisation) const;
+  void updateSlotLayout();
+  void syncSlots(const OrganisationKey &organisation,
+                 const core::Guarantee *guarantee);
   void removeSlot(int64_t id);
   void moveSlot(int64_t id, const std::string &workerId);
   void placeSlots(std::vector<int64_t> unplaced);
-  std::optional<SlotPlan> planSlots(const Tenant &tenant,
+  std::optional<SlotPlan> planSlots(const OrganisationKey &organisation,
                                     const Assignment &workers, int width) const;
-  void takeSlots(Allocation &gang, const SlotPlan &plan);
-  void takeSharedRoom(Allocation &gang);
-  int64_t slotToExchange(const Worker &worker, const Tenant &tenant, int width,
+  void assignSlots(Allocation &gang, const SlotPlan &plan);
+  void assignSharedCapacity(Allocation &gang);
+  int64_t slotToExchange(const Worker &worker,
+                         const OrganisationKey &organisation, int width,
                          const SlotPlan &plan) const;
-  void leaveSlot(Allocation &gang, size_t member);
-  void leaveSlots(Allocation &gang);
-  void promote(const Tenant &tenant);
-  absl::flat_hash_map<std::string, int> firmRoom(const core::JobRequest &job,
-                                                 const std::set<RunId> &without,
-                                                 bool movingSlots) const;
-  bool offered(const Worker &worker, absl::Time now, bool mayProbe) const;
-  std::vector<FreeWorker> offer(absl::Time now, bool mayProbe,
-                                const std::set<std::string> &avoid,
-                                const std::set<RunId> &without) const;
-  std::optional<Assignment> placeFirm(const core::JobRequest &job,
-                                      const std::vector<FreeWorker> &offers,
-                                      const std::set<RunId> &without) const;
-  std::optional<Refusal> neverFits(const core::JobRequest &job,
-                                   const core::Profile &profile,
-                                   absl::Time now) const;
+  void releaseSlot(Allocation &gang, size_t member);
+  void releaseSlots(Allocation &gang);
+  void assignFreeSlots(const OrganisationKey &organisation);
+  absl::flat_hash_map<std::string, int>
+  capacityInSlots(const core::JobRequest &job,
+                  const std::set<RunId> &excludedRuns, bool canMoveSlots) const;
+  bool isAvailable(const Worker &worker, absl::Time now, bool canProbe) const;
+  std::vector<FreeWorker>
+  availableWorkers(absl::Time now, bool canProbe,
+                   const std::set<std::string> &avoidedWorkers,
+                   const std::set<RunId> &excludedRuns) const;
+  std::optional<Assignment>
+  placeInSlots(const core::JobRequest &job,
+               const std::vector<FreeWorker> &available,
+               const std::set<RunId> &excludedRuns) const;
+  std::optional<Refusal> refusalIfNeverFits(const core::JobRequest &job,
+                                            const core::Profile &profile,
+                                            absl::Time now) const;
   int64_t expectedWatts(const core::JobRequest &job) const;
-  int64_t committedWatts(const std::set<RunId> &without) const;
-  std::vector<const Allocation *> victims(const core::JobRequest &job,
-                                          bool firm) const;
-  std::optional<std::set<RunId>> ownBatchToYield(const core::JobRequest &job,
-                                                 int room) const;
-  std::optional<Plan> planReclaim(const core::JobRequest &job, bool firm,
-                                  const std::set<RunId> &yielding,
-                                  absl::Time now,
-                                  const std::set<std::string> &avoid) const;
+  int64_t committedWatts(const std::set<RunId> &excludedRuns) const;
+  std::vector<const Allocation *>
+  preemptionCandidates(const core::JobRequest &job, bool usesSlots) const;
+  std::optional<std::set<RunId>>
+  ownBatchToPreempt(const core::JobRequest &job, int neededAccelerators) const;
+  std::optional<PlacementPlan>
+  planPreemption(const core::JobRequest &job, bool usesSlots,
+                 const std::set<RunId> &ownVictims, absl::Time now,
+                 const std::set<std::string> &avoidedWorkers) const;
   std::set<RunId>
-  neededVictims(const core::JobRequest &job, const Assignment &workers,
-                const std::set<RunId> &yielding,
+  selectVictims(const core::JobRequest &job, const Assignment &workers,
+                const std::set<RunId> &ownVictims,
                 const std::vector<const Allocation *> &candidates) const;
-  enum class Footing { Borrowed, Slots, SharedRoom };
-  const Allocation &commit(const RunId &run, const core::JobRequest &job,
-                           Plan plan, Footing footing);
-  void addUse(const std::string &workerId, int used, int shared);
-  void dropMembers(const std::string &workerId, std::vector<RunId> &runs);
+  enum class CapacitySource { Borrowed, Slots, SharedRoom };
+  const Allocation &commitPlan(const RunId &run, const core::JobRequest &job,
+                               PlacementPlan plan, CapacitySource source);
+  void adjustUse(const std::string &workerId, int used, int shared);
+  void clearMembers(const std::string &workerId, std::vector<RunId> &runs);
 
   Placer Place;
   const int64_t RetryAfterMs;
   const QuarantinePolicy Quarantine;
   std::map<std::string, Worker> Workers;
-  /// What runs that were taken over use on workers that have not announced
-  /// themselves yet. Kept by worker: a new leader hears thousands of them
-  /// within a second and cannot search all runs for each.
-  struct Use {
+  /// The use by adopted runs on workers that have not announced themselves yet.
+  /// Indexed by worker, because a new leader receives thousands of
+  /// announcements within a second and cannot search all runs for each.
+  struct WorkerUse {
     int Used = 0;
     int Shared = 0;
   };
-  absl::flat_hash_map<std::string, Use> Awaited;
-  /// Workers that were lost, and when: a failure domain that is away for an
-  /// hour does not make its gangs ones that can never fit.
-  std::map<std::string, std::pair<core::WorkerInfo, absl::Time>> Departed;
+  absl::flat_hash_map<std::string, WorkerUse> UnannouncedUse;
+  /// Workers that were lost, and when. They count as part of the site for a
+  /// while: if a failure domain is down for an hour, its gangs must not be
+  /// refused as gangs that can never fit.
+  std::map<std::string, std::pair<core::WorkerInfo, absl::Time>> LostWorkers;
   absl::flat_hash_map<std::string, core::Profile> Profiles;
   std::map<RunId, Allocation> Gangs;
   std::map<int64_t, Slot> Slots;
-  std::map<Tenant, std::vector<int64_t>> SlotsOf;
-  int64_t NextSlot = 1;
-  bool LayoutDirty = false;
-  /// Highest measured/declared ratio seen lately for each organisation.
-  absl::flat_hash_map<std::string, double> Overdraw;
+  std::map<OrganisationKey, std::vector<int64_t>> SlotsByOrganisation;
+  int64_t NextSlotId = 1;
+  bool SlotLayoutDirty = false;
+  /// Highest recent ratio of measured to declared power, by organisation.
+  absl::flat_hash_map<std::string, double> OverdrawRatios;
   int64_t NextOrder = 0;
 };
 
--- a/src/libs/placement/placer.cpp
+++ b/src/libs/placement/placer.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Places members greedily on workers in the given order, several members on
-// one worker where room allows.
+// Places members greedily on workers in the given order, several members on one
+// worker if its free capacity allows.
 std::optional<Assignment> fillInOrder(std::vector<FreeWorker> workers,
                                       const core::Shape &shape) {
   Assignment out;
@@ -25,6 +25,7 @@
   return std::nullopt;
 }
 
+// The number of members that fit in the free capacity of the workers.
 int capacity(const std::vector<FreeWorker> &workers, const core::Shape &shape) {
   int n = 0;
   for (const FreeWorker &w : workers)
@@ -32,8 +33,8 @@
   return n;
 }
 
-// Best fit within one group: fullest usable workers first, so that leftover
-// room is small and empty workers stay whole.
+// Best fit within one group: uses the fullest workers that still fit first, so
+// that little capacity is left over on them and empty workers stay empty.
 std::optional<Assignment> bestFit(std::vector<FreeWorker> group,
                                   const core::Shape &shape) {
   std::sort(group.begin(), group.end(),
@@ -45,8 +46,9 @@
   return fillInOrder(std::move(group), shape);
 }
 
-// Of the groups that can hold the whole gang, the one with the least room
-// left over; ties go to the smaller key so that results are repeatable.
+// Chooses, among the groups that can hold the whole gang, the one with the
+// least capacity left over. Ties go to the smaller key, so that results are
+// reproducible.
 std::optional<Assignment> tightestGroup(
     const absl::flat_hash_map<std::string, std::vector<FreeWorker>> &groups,
     const core::Shape &shape) {
--- a/src/libs/placement/placer.h
+++ b/src/libs/placement/placer.h
@@ -9,8 +9,8 @@
 
 namespace oriolebay::placement {
 
-/// A worker's free room as the placer sees it. Workers that are leaving or
-/// lost are not offered at all.
+/// The free capacity of a worker, as offered to a placer. Workers that drain or
+/// are lost are not offered.
 struct FreeWorker {
   std::string Id;
   std::string FailureDomain;
@@ -19,28 +19,29 @@
   auto operator<=>(const FreeWorker &) const = default;
 };
 
-/// The worker of each gang member, in member order.
+/// The worker of each gang member, indexed by member number.
 using Assignment = std::vector<std::string>;
 
-/// Chooses workers for every member of a gang, or nothing when the whole
+/// Chooses a worker for every member of a gang, or returns nothing if the whole
 /// gang cannot be placed now. A placer never places part of a gang.
 using Placer = std::function<std::optional<Assignment>(
     const std::vector<FreeWorker> &, const core::Shape &)>;
 
-/// First fit in the order given: the baseline that the real placer is
-/// measured against.
+/// Places the gang by first fit, in the given order of workers. Serves as the
+/// baseline with which placePacked() is compared.
 std::optional<Assignment> placeFirstFit(const std::vector<FreeWorker> &workers,
                                         const core::Shape &shape);
 
-/// Keeps gangs close and large blocks free: the whole gang in one rack if it
-/// can, else in one failure domain, else anywhere; within that, the fullest
-/// workers that still fit are used first (best fit), so that empty workers
-/// stay empty for large gangs.
+/// Keeps the members of a gang close together and large blocks of accelerators
+/// free: places the whole gang in one rack if possible, else in one failure
+/// domain, else anywhere. Within that group the fullest workers that still fit
+/// are used first (best fit), so that empty workers stay available for large
+/// gangs.
 std::optional<Assignment> placePacked(const std::vector<FreeWorker> &workers,
                                       const core::Shape &shape);
 
-/// The share of free accelerators that a gang member of shape cannot use,
-/// from 0 (all usable) to 1; 0 when nothing is free.
+/// The share of free accelerators that cannot be used by a gang member of the
+/// given shape, from 0 (all usable) to 1. Returns 0 if no accelerator is free.
 double fragmentation(const std::vector<FreeWorker> &workers,
                      const core::Shape &shape);
 
--- a/src/libs/placement/reserve.cpp
+++ b/src/libs/placement/reserve.cpp
@@ -2,10 +2,11 @@
 
 #include <algorithm>
 
-// The layout of guarantees: which worker keeps room for which guaranteed
-// member. It is kept and changed a little at a time, rather than worked out
-// anew from what runs, so that the end of one gang can never take away another
-// organisation's room (docs/PLACEMENT.md, the ways weighed).
+// The slots of the guarantees: which worker reserves capacity for which
+// guaranteed member. The slots are kept and changed in small steps, instead of
+// being recomputed from the running gangs, so that the end of one gang can
+// never take capacity away from another organisation (docs/PLACEMENT.md
+// explains the alternatives).
 namespace oriolebay::placement {
 
 namespace {
@@ -15,7 +16,7 @@
 } // namespace
 
 int ClusterState::guaranteeDeficit() {
-  layOut();
+  updateSlotLayout();
   int deficit = 0;
   for (const auto &[id, slot] : Slots)
     if (slot.WorkerId.empty())
@@ -23,50 +24,53 @@
   return deficit;
 }
 
-int ClusterState::firmUse(const Tenant &tenant) const {
+int ClusterState::usedInSlots(const OrganisationKey &organisation) const {
   int n = 0;
-  auto it = SlotsOf.find(tenant);
-  if (it != SlotsOf.end())
+  auto it = SlotsByOrganisation.find(organisation);
+  if (it != SlotsByOrganisation.end())
     for (int64_t id : it->second)
       n += Slots.at(id).Used;
   return n;
 }
 
-void ClusterState::layOut() {
-  if (!std::exchange(LayoutDirty, false))
+// Adapts the slots to the profiles, workers and gangs if one of these has
+// changed.
+void ClusterState::updateSlotLayout() {
+  if (!std::exchange(SlotLayoutDirty, false))
     return;
-  std::map<Tenant, const core::Guarantee *> wanted;
-  for (const auto &[tenant, ids] : SlotsOf)
-    wanted[tenant] = nullptr;
+  std::map<OrganisationKey, const core::Guarantee *> guarantees;
+  for (const auto &[organisation, ids] : SlotsByOrganisation)
+    guarantees[organisation] = nullptr;
   for (const auto &[name, p] : Profiles)
     for (const core::Guarantee &g : p.Guarantees)
-      wanted[{name, g.Organisation}] = &g;
-  for (const auto &[tenant, guarantee] : wanted)
-    syncSlots(tenant, guarantee);
+      guarantees[{name, g.Organisation}] = &g;
+  for (const auto &[organisation, guarantee] : guarantees)
+    syncSlots(organisation, guarantee);
 
   std::vector<int64_t> unplaced;
   for (auto &[id, slot] : Slots) {
     auto worker = Workers.find(slot.WorkerId);
-    const bool gone = worker == Workers.end();
-    if (gone || (worker->second.Leaving && slot.Used == 0))
+    const bool isGone = worker == Workers.end();
+    if (isGone || (worker->second.Draining && slot.Used == 0))
       moveSlot(id, "");
     if (slot.WorkerId.empty())
       unplaced.push_back(id);
   }
-  // Gangs first: one that already runs where its slot could be, after a change
-  // of leader or of the guarantee, then stands in it.
-  for (const auto &[tenant, ids] : SlotsOf)
-    promote(tenant);
+  // First assign slots to running gangs: after a change of leader or of the
+  // guarantee a gang may already run on a worker where its slot can be.
+  for (const auto &[organisation, ids] : SlotsByOrganisation)
+    assignFreeSlots(organisation);
   std::erase_if(unplaced,
                 [&](int64_t id) { return !Slots.at(id).WorkerId.empty(); });
   placeSlots(std::move(unplaced));
 }
 
-// Whole members first; what is left over of a whole member counts as single
-// accelerators.
-void ClusterState::syncSlots(const Tenant &tenant,
+// Creates and removes slots so that they match the guarantee (none: nullptr).
+// The guarantee is split into slots of the width of a whole member; the
+// remainder becomes slots of one accelerator each.
+void ClusterState::syncSlots(const OrganisationKey &organisation,
                              const core::Guarantee *guarantee) {
-  std::map<int, int> missing;
+  std::map<int, int> missingByWidth;
   if (guarantee != nullptr) {
     int width = guarantee->AcceleratorsPerMember;
     if (width <= 0) {
@@ -74,23 +78,23 @@
         width = std::max(width, w.Info.Accelerators);
       width = std::clamp(width, 1, std::max(1, guarantee->Accelerators));
     }
-    missing[width] += guarantee->Accelerators / width;
-    missing[1] += guarantee->Accelerators % width;
+    missingByWidth[width] += guarantee->Accelerators / width;
+    missingByWidth[1] += guarantee->Accelerators % width;
   }
-  std::vector<int64_t> ids = SlotsOf[tenant];
-  // Slots that can go without a gang noticing go first.
+  std::vector<int64_t> ids = SlotsByOrganisation[organisation];
+  // Slots in use come first, so that unused ones are removed.
   std::sort(ids.begin(), ids.end(), [&](int64_t a, int64_t b) {
     return std::make_pair(Slots.at(a).Used, a) >
            std::make_pair(Slots.at(b).Used, b);
   });
   for (int64_t id : ids)
-    if (--missing[Slots.at(id).Width] < 0)
+    if (--missingByWidth[Slots.at(id).Width] < 0)
       removeSlot(id);
-  for (const auto &[width, n] : missing)
+  for (const auto &[width, n] : missingByWidth)
     for (int i = 0; i < n; ++i) {
-      const int64_t id = NextSlot++;
-      Slots[id] = Slot{tenant, width, 0, {}};
-      SlotsOf[tenant].push_back(id);
+      const int64_t id = NextSlotId++;
+      Slots[id] = Slot{organisation, width, 0, {}};
+      SlotsByOrganisation[organisation].push_back(id);
     }
 }
 
@@ -98,16 +102,18 @@
   for (auto &[run, gang] : Gangs) {
     if (std::count(gang.Slots.begin(), gang.Slots.end(), id) == 0)
       continue;
-    leaveSlots(gang);
-    // A gang that must not be stopped keeps its room as shared room.
+    releaseSlots(gang);
+    // A non-idempotent gang must not be stopped, so it continues in shared
+    // capacity.
     if (!gang.Job.Idempotent)
-      takeSharedRoom(gang);
+      assignSharedCapacity(gang);
   }
   moveSlot(id, "");
-  std::erase(SlotsOf[Slots.at(id).Owner], id);
+  std::erase(SlotsByOrganisation[Slots.at(id).Owner], id);
   Slots.erase(id);
 }
 
+// Moves a slot to another worker, or to none if workerId is empty.
 void ClusterState::moveSlot(int64_t id, const std::string &workerId) {
   Slot &slot = Slots.at(id);
   auto from = Workers.find(slot.WorkerId);
@@ -123,129 +129,136 @@
   slot.WorkerId = workerId;
 }
 
-// Slots without a worker, the widest first: beside the owner's other slots if
-// there is room in those racks, since its gangs need adjacent accelerators,
-// else on the fullest worker that holds it.
+// Places slots that are on no worker, the widest first. A slot goes to a rack
+// that holds other slots of its organisation if there is enough unreserved
+// capacity, since the organisation's gangs need adjacent accelerators; else to
+// the fullest worker that can hold it.
 void ClusterState::placeSlots(std::vector<int64_t> unplaced) {
   if (unplaced.empty())
     return;
   std::stable_sort(unplaced.begin(), unplaced.end(), [&](int64_t a, int64_t b) {
     return Slots.at(a).Width > Slots.at(b).Width;
   });
-  std::map<int, std::set<std::string>> byRoom;
+  std::map<int, std::set<std::string>> byUnreserved;
   absl::flat_hash_map<std::string, std::vector<std::string>> racks;
   for (const auto &[id, w] : Workers) {
-    if (w.Leaving)
+    if (w.Draining)
       continue;
-    byRoom[w.unreserved()].insert(id);
+    byUnreserved[w.unreserved()].insert(id);
     racks[rackOf(w.Info)].push_back(id);
   }
   for (int64_t id : unplaced) {
     const Slot &slot = Slots.at(id);
-    std::string best;
-    for (int64_t other : SlotsOf[slot.Owner]) {
-      auto home = Workers.find(Slots.at(other).WorkerId);
-      if (home == Workers.end())
+    std::string bestWorker;
+    for (int64_t other : SlotsByOrganisation[slot.Owner]) {
+      auto neighbour = Workers.find(Slots.at(other).WorkerId);
+      if (neighbour == Workers.end())
         continue;
-      for (const std::string &w : racks[rackOf(home->second.Info)])
+      for (const std::string &w : racks[rackOf(neighbour->second.Info)])
         if (Workers.at(w).unreserved() >= slot.Width &&
-            (best.empty() ||
-             Workers.at(w).unreserved() < Workers.at(best).unreserved()))
-          best = w;
-      if (!best.empty())
+            (bestWorker.empty() ||
+             Workers.at(w).unreserved() < Workers.at(bestWorker).unreserved()))
+          bestWorker = w;
+      if (!bestWorker.empty())
         break;
     }
-    for (auto it = byRoom.lower_bound(slot.Width);
-         best.empty() && it != byRoom.end(); ++it)
+    for (auto it = byUnreserved.lower_bound(slot.Width);
+         bestWorker.empty() && it != byUnreserved.end(); ++it)
       if (!it->second.empty())
-        best = *it->second.begin();
-    if (best.empty())
+        bestWorker = *it->second.begin();
+    if (bestWorker.empty())
       continue;
-    const Worker &w = Workers.at(best);
-    byRoom[w.unreserved()].erase(best);
-    moveSlot(id, best);
-    byRoom[w.unreserved()].insert(best);
+    const Worker &w = Workers.at(bestWorker);
+    byUnreserved[w.unreserved()].erase(bestWorker);
+    moveSlot(id, bestWorker);
+    byUnreserved[w.unreserved()].insert(bestWorker);
   }
 }
 
-// An unused slot of another organisation on worker that can change places with
-// one of this width; zero when there is none.
-int64_t ClusterState::slotToExchange(const Worker &worker, const Tenant &tenant,
+// Returns an unused slot of another organisation on worker that can be
+// exchanged for a slot of the given width, or zero if there is none.
+int64_t ClusterState::slotToExchange(const Worker &worker,
+                                     const OrganisationKey &organisation,
                                      int width, const SlotPlan &plan) const {
   for (int64_t id : worker.SlotIds) {
     const Slot &slot = Slots.at(id);
-    if (slot.Owner != tenant && slot.Used == 0 && slot.Width == width &&
+    if (slot.Owner != organisation && slot.Used == 0 && slot.Width == width &&
         plan.Moves.count(id) == 0)
       return id;
   }
   return 0;
 }
 
+// Plans a slot for each member on its worker, of at least width free
+// accelerators each. Prefers the slot on that worker with the least free width;
+// otherwise moves an unused slot there, or exchanges it for another
+// organisation's. Returns nothing if any member gets no slot.
 std::optional<ClusterState::SlotPlan>
-ClusterState::planSlots(const Tenant &tenant, const Assignment &workers,
-                        int width) const {
-  auto mine = SlotsOf.find(tenant);
-  if (mine == SlotsOf.end())
+ClusterState::planSlots(const OrganisationKey &organisation,
+                        const Assignment &workers, int width) const {
+  auto ownSlots = SlotsByOrganisation.find(organisation);
+  if (ownSlots == SlotsByOrganisation.end())
     return std::nullopt;
   SlotPlan plan;
-  std::map<int64_t, int> taken;
-  std::map<std::string, int> moved;
-  auto placeOf = [&](int64_t id) -> const std::string & {
+  std::map<int64_t, int> plannedUse;
+  std::map<std::string, int> movedIn;
+  auto workerOf = [&](int64_t id) -> const std::string & {
     auto it = plan.Moves.find(id);
     return it == plan.Moves.end() ? Slots.at(id).WorkerId : it->second;
   };
   for (const std::string &worker : workers) {
-    int64_t standing = 0;
-    int64_t movable = 0;
-    int64_t unused = 0;
-    int room = 0;
-    auto known = Workers.find(worker);
-    if (known == Workers.end())
+    int64_t chosen = 0;
+    int64_t movableSlot = 0;
+    int64_t unusedSlot = 0;
+    int chosenFree = 0;
+    auto target = Workers.find(worker);
+    if (target == Workers.end())
       return std::nullopt;
-    const int open = known->second.unreserved() - moved[worker];
-    for (int64_t id : mine->second) {
+    const int unreservedLeft = target->second.unreserved() - movedIn[worker];
+    for (int64_t id : ownSlots->second) {
       const Slot &slot = Slots.at(id);
-      const int left = slot.Width - slot.Used - taken[id];
-      if (left < width)
+      const int freeWidth = slot.Width - slot.Used - plannedUse[id];
+      if (freeWidth < width)
         continue;
-      if (placeOf(id) == worker) {
-        if (standing == 0 || left < room) {
-          standing = id;
-          room = left;
+      if (workerOf(id) == worker) {
+        if (chosen == 0 || freeWidth < chosenFree) {
+          chosen = id;
+          chosenFree = freeWidth;
         }
-      } else if (left == slot.Width && plan.Moves.count(id) == 0) {
-        unused = id;
-        if (slot.Width <= open && (movable == 0 || slot.WorkerId.empty() ||
-                                   slot.Width < Slots.at(movable).Width))
-          movable = id;
+      } else if (freeWidth == slot.Width && plan.Moves.count(id) == 0) {
+        unusedSlot = id;
+        if (slot.Width <= unreservedLeft &&
+            (movableSlot == 0 || slot.WorkerId.empty() ||
+             slot.Width < Slots.at(movableSlot).Width))
+          movableSlot = id;
       }
     }
-    if (standing == 0 && movable == 0 && unused != 0 &&
-        !Slots.at(unused).WorkerId.empty()) {
-      const int64_t other =
-          slotToExchange(known->second, tenant, Slots.at(unused).Width, plan);
-      if (other != 0) {
-        plan.Moves[other] = Slots.at(unused).WorkerId;
-        plan.Moves[unused] = worker;
-        standing = unused;
+    if (chosen == 0 && movableSlot == 0 && unusedSlot != 0 &&
+        !Slots.at(unusedSlot).WorkerId.empty()) {
+      const int64_t exchanged = slotToExchange(
+          target->second, organisation, Slots.at(unusedSlot).Width, plan);
+      if (exchanged != 0) {
+        plan.Moves[exchanged] = Slots.at(unusedSlot).WorkerId;
+        plan.Moves[unusedSlot] = worker;
+        chosen = unusedSlot;
       }
     }
-    if (standing == 0 && movable != 0) {
-      // Room the slot leaves behind is not counted as open: that keeps the
-      // plan independent of the order in which its moves are made.
-      plan.Moves[movable] = worker;
-      moved[worker] += Slots.at(movable).Width;
-      standing = movable;
+    if (chosen == 0 && movableSlot != 0) {
+      // The capacity that the slot leaves behind is not counted as free. That
+      // keeps the plan independent of the order in which its moves are made.
+      plan.Moves[movableSlot] = worker;
+      movedIn[worker] += Slots.at(movableSlot).Width;
+      chosen = movableSlot;
     }
-    if (standing == 0)
+    if (chosen == 0)
       return std::nullopt;
-    taken[standing] += width;
-    plan.Slots.push_back(standing);
+    plannedUse[chosen] += width;
+    plan.Slots.push_back(chosen);
   }
   return plan;
 }
 
-void ClusterState::takeSlots(Allocation &gang, const SlotPlan &plan) {
+void ClusterState::assignSlots(Allocation &gang, const SlotPlan &plan) {
   for (const auto &[id, worker] : plan.Moves)
     moveSlot(id, worker);
   gang.Slots = plan.Slots;
@@ -253,99 +266,105 @@
     Slots.at(id).Used += gang.Job.GangShape.AcceleratorsPerMember;
 }
 
-void ClusterState::takeSharedRoom(Allocation &gang) {
+void ClusterState::assignSharedCapacity(Allocation &gang) {
   for (size_t m = 0; m < gang.Workers.size(); ++m) {
     gang.Slots[m] = Allocation::SharedRoom;
-    addUse(gang.Workers[m], 0, gang.Job.GangShape.AcceleratorsPerMember);
+    adjustUse(gang.Workers[m], 0, gang.Job.GangShape.AcceleratorsPerMember);
   }
 }
 
-void ClusterState::leaveSlot(Allocation &gang, size_t member) {
+void ClusterState::releaseSlot(Allocation &gang, size_t member) {
   const int width = gang.Job.GangShape.AcceleratorsPerMember;
   const int64_t id = std::exchange(gang.Slots[member], Allocation::Borrowed);
   if (id == Allocation::SharedRoom) {
-    addUse(gang.Workers[member], 0, -width);
-    LayoutDirty = true;
+    adjustUse(gang.Workers[member], 0, -width);
+    SlotLayoutDirty = true;
   } else if (id != Allocation::Borrowed) {
     Slots.at(id).Used -= width;
     auto it = Workers.find(Slots.at(id).WorkerId);
-    LayoutDirty = LayoutDirty || it == Workers.end() || it->second.Leaving;
+    SlotLayoutDirty =
+        SlotLayoutDirty || it == Workers.end() || it->second.Draining;
   }
 }
 
-void ClusterState::leaveSlots(Allocation &gang) {
+void ClusterState::releaseSlots(Allocation &gang) {
   for (size_t m = 0; m < gang.Slots.size(); ++m)
-    leaveSlot(gang, m);
+    releaseSlot(gang, m);
 }
 
-// The organisation's oldest gangs that do not stand in its slots move into
-// them where they run, as far as the guarantee goes.
-void ClusterState::promote(const Tenant &tenant) {
-  std::vector<Allocation *> mine;
+// Assigns free slots of the organisation to its oldest gangs that use none, on
+// the workers where they run, up to the guarantee.
+void ClusterState::assignFreeSlots(const OrganisationKey &organisation) {
+  std::vector<Allocation *> ownGangs;
   for (auto &[run, gang] : Gangs)
-    if (tenantOf(gang.Job) == tenant && !gang.Stopping &&
+    if (organisationOf(gang.Job) == organisation && !gang.Stopping &&
         std::none_of(gang.Slots.begin(), gang.Slots.end(),
                      [](int64_t s) { return s > 0; }))
-      mine.push_back(&gang);
-  std::sort(mine.begin(), mine.end(),
+      ownGangs.push_back(&gang);
+  std::sort(ownGangs.begin(), ownGangs.end(),
             [](const Allocation *a, const Allocation *b) {
               return a->Order < b->Order;
             });
-  for (Allocation *gang : mine) {
+  for (Allocation *gang : ownGangs) {
     const core::Shape &shape = gang->Job.GangShape;
-    if (firmUse(tenant) + shape.accelerators() > guaranteed(tenant))
+    if (usedInSlots(organisation) + shape.accelerators() >
+        guaranteedTo(organisation))
       continue;
-    const bool shared = gang->firm();
-    if (shared)
-      leaveSlots(*gang);
+    const bool usesSharedCapacity = gang->firm();
+    if (usesSharedCapacity)
+      releaseSlots(*gang);
     if (auto plan =
-            planSlots(tenant, gang->Workers, shape.AcceleratorsPerMember))
-      takeSlots(*gang, *plan);
-    else if (shared)
-      takeSharedRoom(*gang);
+            planSlots(organisation, gang->Workers, shape.AcceleratorsPerMember))
+      assignSlots(*gang, *plan);
+    else if (usesSharedCapacity)
+      assignSharedCapacity(*gang);
   }
 }
 
-// How much of each worker a firm gang of job may take: what is left in its
-// organisation's slots there, once the runs in without are gone, and, when
-// slots may move, the open room that unused slots could move to.
+// Returns for each worker the number of accelerators that job can use in its
+// organisation's slots: the free part of the slots there, once excludedRuns
+// have ended, and, if slots can move, the unreserved capacity to which unused
+// slots could move.
 absl::flat_hash_map<std::string, int>
-ClusterState::firmRoom(const core::JobRequest &job,
-                       const std::set<RunId> &without, bool movingSlots) const {
-  absl::flat_hash_map<std::string, int> room;
-  auto mine = SlotsOf.find(tenantOf(job));
-  if (mine == SlotsOf.end())
-    return room;
-  absl::flat_hash_map<int64_t, int> given;
-  for (const RunId &run : without)
+ClusterState::capacityInSlots(const core::JobRequest &job,
+                              const std::set<RunId> &excludedRuns,
+                              bool canMoveSlots) const {
+  absl::flat_hash_map<std::string, int> capacity;
+  auto ownSlots = SlotsByOrganisation.find(organisationOf(job));
+  if (ownSlots == SlotsByOrganisation.end())
+    return capacity;
+  absl::flat_hash_map<int64_t, int> freed;
+  for (const RunId &run : excludedRuns)
     if (const Allocation *gang = allocation(run))
       for (int64_t id : gang->Slots)
-        given[id] += gang->Job.GangShape.AcceleratorsPerMember;
+        freed[id] += gang->Job.GangShape.AcceleratorsPerMember;
   const int width = job.GangShape.AcceleratorsPerMember;
-  int movable = 0;
+  int movableSlots = 0;
   int movableWidth = 0;
-  for (int64_t id : mine->second) {
+  for (int64_t id : ownSlots->second) {
     const Slot &slot = Slots.at(id);
-    const int left = slot.Width - slot.Used + given[id];
-    // Only whole members fit in a slot: two half-free slots hold no wide one.
-    room[slot.WorkerId] += left / width * width;
-    if (left == slot.Width && slot.Width >= width) {
-      ++movable;
+    const int freeWidth = slot.Width - slot.Used + freed[id];
+    // Only whole members fit in a slot: two half-free slots cannot hold one
+    // member of full width.
+    capacity[slot.WorkerId] += freeWidth / width * width;
+    if (freeWidth == slot.Width && slot.Width >= width) {
+      ++movableSlots;
       movableWidth = std::max(movableWidth, slot.Width);
     }
   }
-  room.erase("");
-  if (movingSlots && movable > 0)
+  capacity.erase("");
+  if (canMoveSlots && movableSlots > 0)
     for (const auto &[id, w] : Workers) {
-      int slots = std::max(0, w.unreserved()) / movableWidth;
-      for (int64_t other : w.SlotIds)
-        if (Slots.at(other).Owner != tenantOf(job) &&
-            Slots.at(other).Used == 0 && Slots.at(other).Width == movableWidth)
-          ++slots;
-      slots = std::min(slots, movable);
-      room[id] += slots * (movableWidth / width * width);
+      int placeableSlots = std::max(0, w.unreserved()) / movableWidth;
+      for (int64_t otherSlot : w.SlotIds)
+        if (Slots.at(otherSlot).Owner != organisationOf(job) &&
+            Slots.at(otherSlot).Used == 0 &&
+            Slots.at(otherSlot).Width == movableWidth)
+          ++placeableSlots;
+      placeableSlots = std::min(placeableSlots, movableSlots);
+      capacity[id] += placeableSlots * (movableWidth / width * width);
     }
-  return room;
+  return capacity;
 }
 
 } // namespace oriolebay::placement
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -14,20 +14,20 @@
 using endpoints::TaskEnd;
 
 namespace {
-// Waiting gangs are tried again when something changed, and at least this
-// often because quarantines and drains end by time alone.
-const absl::Duration RoundPeriod = absl::Milliseconds(200);
-// Silence and lost stops are counted in seconds; looking for them at every
-// turn would cost more than all else on a large idle site.
-const absl::Duration CheckPeriod = absl::Milliseconds(100);
-const absl::Duration StopResend = absl::Seconds(1);
+// Placement of waiting gangs is retried when something changed, and at least
+// with this period, because quarantines and drains end by time alone.
+const absl::Duration PlacementPeriod = absl::Milliseconds(200);
+// Timeouts of workers and of stops are measured in seconds. Checking them in
+// each tick would cost more than all other work on a large idle site.
+const absl::Duration WorkerCheckPeriod = absl::Milliseconds(100);
+const absl::Duration StopResendPeriod = absl::Seconds(1);
 } // namespace
 
 GangScheduler::GangScheduler(placement::ClusterState state, Policy policy,
                              std::string runPrefix, absl::Time start)
-    : State(std::move(state)), Rules(std::move(policy)),
+    : State(std::move(state)), Limits(std::move(policy)),
       RunPrefix(std::move(runPrefix)),
-      SettledAt(start + Rules.HeartbeatTimeout) {}
+      AnnouncementDeadline(start + Limits.HeartbeatTimeout) {}
 
 std::vector<Action> GangScheduler::takeActions() {
   return std::exchange(Actions, {});
@@ -38,16 +38,16 @@
                      [&](const PendingGang &p) {
                        return p.Request.GangId == gangId;
                      }) ||
-         std::any_of(Runs.begin(), Runs.end(), [&](const auto &r) {
-           return r.second.Gang.Request.GangId == gangId;
+         std::any_of(Runs.begin(), Runs.end(), [&](const auto &entry) {
+           return entry.second.Gang.Request.GangId == gangId;
          });
 }
 
 int GangScheduler::widestPending() const {
-  int n = 0;
+  int widest = 0;
   for (const PendingGang &p : Pending)
-    n = std::max(n, p.Request.Job.GangShape.AcceleratorsPerMember);
-  return n;
+    widest = std::max(widest, p.Request.Job.GangShape.AcceleratorsPerMember);
+  return widest;
 }
 
 void GangScheduler::submit(GangRequest request, absl::Time now) {
@@ -58,23 +58,25 @@
     return;
   PendingGang gang;
   gang.Request = std::move(request);
-  gang.Arrived = now;
+  gang.WaitingSince = now;
   Pending.push_back(std::move(gang));
-  if (Pending.size() > Rules.MaxPending)
-    shedPending();
-  Dirty = true;
+  if (Pending.size() > Limits.MaxPending)
+    refuseForFullQueue();
+  PlacementDue = true;
 }
 
-// A burst of one organisation fills the queue. Refusing whoever comes next
-// would shut out the others, guarantees and all; so the organisation with the
-// most waiting gangs loses its latest one, batch before urgent.
-void GangScheduler::shedPending() {
+// Removes one gang when the queue is full, for example after a burst of jobs of
+// one organisation. Refusing the next gang to arrive would lock out the other
+// organisations, including those with guarantees. Therefore the organisation
+// with the most waiting gangs loses its latest one, batch before urgent.
+void GangScheduler::refuseForFullQueue() {
   std::map<std::string, size_t> waiting;
   for (const PendingGang &p : Pending)
     ++waiting[p.Request.Job.Organisation];
   auto rank = [&](const PendingGang &p) {
     return std::make_tuple(waiting[p.Request.Job.Organisation],
-                           p.Request.Job.Class == JobClass::Batch, p.Arrived);
+                           p.Request.Job.Class == JobClass::Batch,
+                           p.WaitingSince);
   };
   auto last = std::max_element(Pending.begin(), Pending.end(),
                                [&](const PendingGang &a, const PendingGang &b) {
@@ -82,55 +84,57 @@
                                });
   PendingGang gang = std::move(*last);
   Pending.erase(last);
-  giveUp(gang, {NotRunReason::Overloaded,
-                "the queue is full and this organisation has the most waiting",
-                Rules.RetryAfterMs});
+  refusePending(
+      gang,
+      {NotRunReason::Overloaded,
+       "the queue is full and this organisation has the most waiting jobs",
+       Limits.RetryAfterMs});
 }
 
 void GangScheduler::cancel(const std::string &organisation,
                            const std::string &jobId, absl::Time now) {
-  auto meant = [&](const PendingGang &gang) {
+  auto matches = [&](const PendingGang &gang) {
     const core::JobRequest &job = gang.Request.Job;
     return job.Organisation == organisation && job.Id == jobId;
   };
-  auto waiting = std::stable_partition(
+  auto firstCancelled = std::stable_partition(
       Pending.begin(), Pending.end(),
-      [&](const PendingGang &gang) { return !meant(gang); });
-  for (auto it = waiting; it != Pending.end(); ++it)
-    giveUp(*it, {NotRunReason::Cancelled, "cancelled by its caller", 0});
-  Pending.erase(waiting, Pending.end());
-  std::vector<RunId> running;
+      [&](const PendingGang &gang) { return !matches(gang); });
+  for (auto it = firstCancelled; it != Pending.end(); ++it)
+    refusePending(*it, {NotRunReason::Cancelled, "cancelled by the caller", 0});
+  Pending.erase(firstCancelled, Pending.end());
+  std::vector<RunId> cancelledRuns;
   for (const auto &[run, r] : Runs)
-    if (meant(r.Gang))
-      running.push_back(run);
-  for (const RunId &run : running)
-    beginStop(run, StopWhy::Cancelled, "cancelled by its caller", now);
+    if (matches(r.Gang))
+      cancelledRuns.push_back(run);
+  for (const RunId &run : cancelledRuns)
+    beginStop(run, StopCause::Cancelled, "cancelled by the caller", now);
 }
 
 void GangScheduler::onProfile(const core::Profile &profile) {
-  Dirty = State.applyProfile(profile) || Dirty;
+  PlacementDue = State.applyProfile(profile) || PlacementDue;
 }
 
 void GangScheduler::onAnnounce(const endpoints::Announce &announce, bool fenced,
                                absl::Time now) {
   const std::string &id = announce.Worker.Id;
-  Dirty = Dirty || !State.workerKnown(id);
+  PlacementDue = PlacementDue || !State.workerKnown(id);
   for (const RunId &run :
        State.upsertWorker(announce.Worker, announce.Incarnation, now))
-    membersLost(run, id, now);
+    handleLostMembers(run, id, now);
   if (announce.Leaving)
     State.markLeaving(id);
   recordWatts(announce);
   if (fenced) {
-    checkAdopted(announce, now);
-    stopUnknown(announce);
+    checkAdoptedRuns(announce, now);
+    stopUnknownTasks(announce);
   }
 }
 
-// A task of a run that nobody waits for any more: its worker was cut off and
-// given up, or its start was never confirmed. It would hold accelerators and
-// draw power for nothing.
-void GangScheduler::stopUnknown(const endpoints::Announce &announce) {
+// Stops tasks of unknown runs: their worker was partitioned and given up as
+// lost, or their start was never confirmed. They would use accelerators and
+// power for nothing.
+void GangScheduler::stopUnknownTasks(const endpoints::Announce &announce) {
   for (const endpoints::TaskStatus &task : announce.Tasks)
     if (Runs.count(task.Run) == 0)
       Actions.push_back(
@@ -138,17 +142,18 @@
 }
 
 void GangScheduler::recordWatts(const endpoints::Announce &announce) {
-  std::set<RunId> measured;
+  std::set<RunId> updatedRuns;
   for (const endpoints::TaskStatus &task : announce.Tasks) {
     auto it = Runs.find(task.Run);
     if (it == Runs.end() || task.Watts < 0 || task.Member < 0 ||
         static_cast<size_t>(task.Member) >= it->second.Watts.size())
       continue;
     it->second.Watts[static_cast<size_t>(task.Member)] = task.Watts;
-    measured.insert(task.Run);
+    updatedRuns.insert(task.Run);
   }
-  // Reports lag, so a member that has not been measured counts as declared.
-  for (const RunId &run : measured) {
+  // Measurements arrive late, so a member without one counts with its declared
+  // power.
+  for (const RunId &run : updatedRuns) {
     const RunState &r = Runs.at(run);
     int64_t total = 0;
     for (int64_t watts : r.Watts)
@@ -158,24 +163,25 @@
   }
 }
 
-void GangScheduler::checkAdopted(const endpoints::Announce &announce,
-                                 absl::Time now) {
+void GangScheduler::checkAdoptedRuns(const endpoints::Announce &announce,
+                                     absl::Time now) {
   const std::string &id = announce.Worker.Id;
-  auto awaiting = AwaitedOn.extract(id);
-  if (!awaiting)
+  auto awaitedRuns = AdoptedByWorker.extract(id);
+  if (!awaitedRuns)
     return;
-  std::vector<RunId> lost;
-  for (const RunId &run : awaiting.mapped()) {
+  std::vector<RunId> lostRuns;
+  for (const RunId &run : awaitedRuns.mapped()) {
     auto it = Runs.find(run);
     if (it == Runs.end())
       continue;
     RunState &r = it->second;
-    r.Unseen.erase(id);
-    if (r.Unseen.empty())
-      r.OrphanedAt = absl::InfiniteFuture();
-    // An agent lists every task whose end it has not reported. A member that
-    // is missing from the first list either never started or was reported to
-    // the entry that led before and died with it: its end is unknown.
+    r.UnannouncedWorkers.erase(id);
+    if (r.UnannouncedWorkers.empty())
+      r.AdoptionDeadline = absl::InfiniteFuture();
+    // An agent lists every task whose end it has not reported yet. A member
+    // that is missing in the first list either never started, or its end was
+    // reported to the previous leader and lost with that process. Its result is
+    // unknown.
     const placement::Allocation *alloc = State.allocation(run);
     for (size_t m = 0; alloc != nullptr && m < alloc->Workers.size(); ++m)
       if (alloc->Workers[m] == id && !r.Members[m] &&
@@ -183,10 +189,10 @@
                        [&](const endpoints::TaskStatus &t) {
                          return t.Run == run && t.Member == static_cast<int>(m);
                        }))
-        lost.push_back(run);
+        lostRuns.push_back(run);
   }
-  for (const RunId &run : lost)
-    membersLost(run, id, now);
+  for (const RunId &run : lostRuns)
+    handleLostMembers(run, id, now);
 }
 
 void GangScheduler::releaseRun(const RunId &run) {
@@ -194,8 +200,8 @@
   Actions.push_back(ForgetRun{run, it->second.Gang.Request});
   Runs.erase(it);
   for (const RunId &ready : State.release(run))
-    start(ready);
-  Dirty = true;
+    startRun(ready);
+  PlacementDue = true;
 }
 
 void GangScheduler::onStartRefused(const RunId &run,
@@ -205,7 +211,7 @@
     return;
   PendingGang gang = it->second.Gang;
   const bool answered = it->second.Answered;
-  gang.Avoid.insert(worker);
+  gang.AvoidedWorkers.insert(worker);
   gang.Saved = it->second.Saved;
   releaseRun(run);
   if (!answered)
@@ -222,7 +228,7 @@
 }
 
 void GangScheduler::onStartUnconfirmed(const RunId &run, absl::Time now) {
-  beginStop(run, StopWhy::WorkerLost, "the start of a member is unconfirmed",
+  beginStop(run, StopCause::WorkerLost, "the start of a member is unconfirmed",
             now);
 }
 
@@ -236,67 +242,71 @@
   if (!result.Saved.empty())
     it->second.Saved = result.Saved;
   if (result.End != TaskEnd::Stopped) {
-    const bool before = State.quarantined(result.WorkerId, now);
+    const bool wasQuarantined = State.quarantined(result.WorkerId, now);
     State.recordTaskEnd(result.WorkerId, result.End == TaskEnd::Done, now);
-    if (!before && State.quarantined(result.WorkerId, now))
+    if (!wasQuarantined && State.quarantined(result.WorkerId, now))
       Actions.push_back(Note{Note::Kind::WorkerKeptOut, result.WorkerId,
                              "failed several tasks in a row"});
   }
   if (result.End == TaskEnd::Failed)
-    it->second.Gang.Avoid.insert(result.WorkerId);
-  memberEnded(result.Run,
-              core::MemberResult{result.Member, result.WorkerId,
-                                 result.End == TaskEnd::Done, result.Output},
-              now);
+    it->second.Gang.AvoidedWorkers.insert(result.WorkerId);
+  handleMemberEnd(result.Run,
+                  core::MemberResult{result.Member, result.WorkerId,
+                                     result.End == TaskEnd::Done,
+                                     result.Output},
+                  now);
 }
 
-void GangScheduler::memberEnded(const RunId &run, core::MemberResult result,
-                                absl::Time now) {
+void GangScheduler::handleMemberEnd(const RunId &run, core::MemberResult result,
+                                    absl::Time now) {
   RunState &r = Runs.at(run);
   const bool ok = result.Ok;
   const std::string detail = absl::StrCat("member ", result.Member, " on ",
                                           result.WorkerId, ": ", result.Output);
   r.Members[static_cast<size_t>(result.Member)] = std::move(result);
   if (!ok)
-    beginStop(run, StopWhy::MemberFailed, detail, now);
+    beginStop(run, StopCause::MemberFailed, detail, now);
   auto it = Runs.find(run);
   if (it != Runs.end() &&
       std::all_of(it->second.Members.begin(), it->second.Members.end(),
                   [](const auto &m) { return m.has_value(); }))
-    conclude(run, now);
+    finishRun(run, now);
 }
 
-void GangScheduler::membersLost(const RunId &run, const std::string &worker,
-                                absl::Time now) {
+void GangScheduler::handleLostMembers(const RunId &run,
+                                      const std::string &worker,
+                                      absl::Time now) {
   auto it = Runs.find(run);
   if (it == Runs.end())
     return;
   const placement::Allocation *alloc = State.allocation(run);
-  std::vector<int> lost;
+  std::vector<int> lostMembers;
   for (size_t m = 0; m < it->second.Members.size(); ++m)
     if (!it->second.Members[m] &&
         (alloc->Workers[m].empty() || alloc->Workers[m] == worker))
-      lost.push_back(static_cast<int>(m));
-  if (!lost.empty())
-    beginStop(run, StopWhy::WorkerLost, "worker " + worker + " was lost", now);
-  for (int m : lost)
+      lostMembers.push_back(static_cast<int>(m));
+  if (!lostMembers.empty())
+    beginStop(run, StopCause::WorkerLost, "worker " + worker + " was lost",
+              now);
+  for (int m : lostMembers)
     if (Runs.count(run) != 0)
-      memberEnded(run, core::MemberResult{m, worker, false, "worker lost"},
-                  now);
+      handleMemberEnd(run, core::MemberResult{m, worker, false, "worker lost"},
+                      now);
 }
 
 bool GangScheduler::willRetry(const RunState &run) const {
   const PendingGang &gang = run.Gang;
   if (!gang.Request.Job.Idempotent || run.Answered || run.Orphan ||
-      run.Why == StopWhy::Cancelled)
+      run.Cause == StopCause::Cancelled)
     return false;
-  // Being stopped for somebody else's guarantee is no fault of the gang's.
-  return run.Why == StopWhy::Reclaimed || run.Why == StopWhy::Power ||
-         gang.Attempt < Rules.MaxAttempts;
+  // A stop for another organisation's guarantee or for the power cap is not the
+  // gang's fault and does not count as an attempt.
+  return run.Cause == StopCause::Reclaimed || run.Cause == StopCause::Power ||
+         gang.Attempt < Limits.MaxAttempts;
 }
 
-void GangScheduler::answer(const RunState &run, Outcome outcome,
-                           const std::string &detail) {
+void GangScheduler::answerCaller(const RunState &run, Outcome outcome,
+                                 const std::string &detail) {
   if (run.Answered)
     return;
   JobAnswer answer{
@@ -308,32 +318,33 @@
       AnswerCaller{run.Gang.Request, std::move(answer), run.Orphan});
 }
 
-void GangScheduler::beginStop(const RunId &run, StopWhy why,
+void GangScheduler::beginStop(const RunId &run, StopCause cause,
                               const std::string &detail, absl::Time now) {
   auto it = Runs.find(run);
-  if (it == Runs.end() || it->second.Why != StopWhy::None)
+  if (it == Runs.end() || it->second.Cause != StopCause::None)
     return;
   RunState &r = it->second;
-  r.Why = why;
+  r.Cause = cause;
   r.Detail = detail;
   Actions.push_back(Note{Note::Kind::Stopping, run, detail});
   const placement::Allocation *alloc = State.allocation(run);
   if (!alloc->WaitsFor.empty()) {
-    // Placed but not started: there is nothing to stop.
-    RunState gone = r;
-    if (why == StopWhy::Cancelled)
-      giveUp(gone.Gang, {NotRunReason::Cancelled, detail, 0});
+    // The gang was placed but not started, so there is nothing to stop.
+    RunState removed = r;
+    if (cause == StopCause::Cancelled)
+      refusePending(removed.Gang, {NotRunReason::Cancelled, detail, 0});
     releaseRun(run);
-    if (why != StopWhy::Cancelled)
-      requeue(std::move(gone), now, detail);
+    if (cause != StopCause::Cancelled)
+      requeue(std::move(removed), now, detail);
     return;
   }
   State.markStopping(run);
   sendStop(run, r, now);
-  // The caller of a gang that will not be tried again hears at once; the room
-  // stays charged until every member has surely ended.
+  // If the gang will not be retried, its caller is answered at once. The
+  // accelerators and the power stay charged until every member has certainly
+  // ended.
   if (!willRetry(r)) {
-    answer(r, Outcome::Failed, detail);
+    answerCaller(r, Outcome::Failed, detail);
     r.Answered = true;
   }
 }
@@ -345,20 +356,21 @@
   for (size_t m = 0; m < alloc->Workers.size(); ++m)
     if (!state.Members[m] && !alloc->Workers[m].empty())
       stop.Members[alloc->Workers[m]].push_back(static_cast<int>(m));
-  state.StopSent = now;
+  state.LastStopSent = now;
   if (!stop.Members.empty())
     Actions.push_back(std::move(stop));
 }
 
-void GangScheduler::conclude(const RunId &run, absl::Time now) {
+void GangScheduler::finishRun(const RunId &run, absl::Time now) {
   RunState r = Runs.at(run);
   const bool allOk = std::all_of(r.Members.begin(), r.Members.end(),
                                  [](const auto &m) { return m && m->Ok; });
   const bool retry = !allOk && willRetry(r);
-  // The answer goes first: the record of an at-most-once request is completed
-  // with it when the run is forgotten.
+  // Answer before releasing the run: when the run is forgotten, the answer is
+  // written to the record of an at-most-once request.
   if (!retry)
-    answer(r, allOk ? Outcome::Done : Outcome::Failed, allOk ? "" : r.Detail);
+    answerCaller(r, allOk ? Outcome::Done : Outcome::Failed,
+                 allOk ? "" : r.Detail);
   releaseRun(run);
   if (retry)
     requeue(r, now, r.Detail);
@@ -368,20 +380,22 @@
                             const std::string &why) {
   PendingGang gang = std::move(run.Gang);
   if (run.Dispatched) {
-    gang.Ran = true;
+    gang.HasRun = true;
     gang.Saved = run.Saved;
-    if (run.Why == StopWhy::MemberFailed || run.Why == StopWhy::WorkerLost)
+    if (run.Cause == StopCause::MemberFailed ||
+        run.Cause == StopCause::WorkerLost)
       ++gang.Attempt;
   }
-  // The wait for room starts anew: the time the gang ran is not waiting.
-  gang.Arrived = now;
-  gang.Draining.clear();
+  // The limit on the waiting time starts again, since the time for which the
+  // gang ran is not waiting time.
+  gang.WaitingSince = now;
+  gang.DrainedWorkers.clear();
   Actions.push_back(Note{Note::Kind::Requeued, gang.Request.GangId, why});
   Pending.push_back(std::move(gang));
-  Dirty = true;
+  PlacementDue = true;
 }
 
-void GangScheduler::start(const RunId &run) {
+void GangScheduler::startRun(const RunId &run) {
   RunState &r = Runs.at(run);
   r.Dispatched = true;
   Actions.push_back(StartGang{run, r.Gang.Request,
@@ -394,138 +408,145 @@
   State.adopt(adopted.Run, adopted.Request.Job, adopted.Workers);
   RunState r;
   r.Gang.Request = adopted.Request;
-  r.Gang.Arrived = now;
+  r.Gang.WaitingSince = now;
   r.Gang.Attempt = adopted.Attempt;
-  r.Gang.Ran = true;
+  r.Gang.HasRun = true;
   r.Dispatched = true;
   r.Orphan = true;
   r.Members.resize(adopted.Workers.size());
   r.Watts.assign(adopted.Workers.size(), -1);
-  r.Unseen.insert(adopted.Workers.begin(), adopted.Workers.end());
-  r.OrphanedAt = now + orphanLease;
-  for (const std::string &worker : r.Unseen)
-    AwaitedOn[worker].push_back(adopted.Run);
+  r.UnannouncedWorkers.insert(adopted.Workers.begin(), adopted.Workers.end());
+  r.AdoptionDeadline = now + orphanLease;
+  for (const std::string &worker : r.UnannouncedWorkers)
+    AdoptedByWorker[worker].push_back(adopted.Run);
   Runs[adopted.Run] = std::move(r);
 }
 
-void GangScheduler::dropLostMembers(const std::vector<RunId> &runs,
-                                    absl::Time now) {
+void GangScheduler::handleExpiredRuns(const std::vector<RunId> &runs,
+                                      absl::Time now) {
   for (const RunId &run : runs)
-    membersLost(run, "", now);
+    handleLostMembers(run, "", now);
 }
 
 void GangScheduler::tick(absl::Time now) {
-  if (now - LastCheck >= CheckPeriod || now < LastCheck) {
-    LastCheck = now;
+  if (now - LastWorkerCheck >= WorkerCheckPeriod || now < LastWorkerCheck) {
+    LastWorkerCheck = now;
     checkWorkers(now);
     resendStops(now);
   }
   for (const RunId &run : State.shedForPower())
-    beginStop(run, StopWhy::Power, "stopped to keep the power cap", now);
-  if (Dirty || (!Pending.empty() && now - LastRound >= RoundPeriod))
-    placeWaiting(now);
+    beginStop(run, StopCause::Power, "stopped to stay below the power cap",
+              now);
+  if (PlacementDue ||
+      (!Pending.empty() && now - LastPlacement >= PlacementPeriod))
+    placePending(now);
 }
 
 void GangScheduler::checkWorkers(absl::Time now) {
-  for (const RunId &run : State.findSilent(now, Rules.HeartbeatTimeout))
-    beginStop(run, StopWhy::WorkerLost, "a worker went silent", now);
-  dropLostMembers(State.expireWorkers(now, Rules.TaskLease), now);
+  for (const RunId &run : State.findSilent(now, Limits.HeartbeatTimeout))
+    beginStop(run, StopCause::WorkerLost, "a worker is unresponsive", now);
+  handleExpiredRuns(State.expireWorkers(now, Limits.TaskLease), now);
   std::vector<std::pair<RunId, std::string>> orphans;
   for (const auto &[run, r] : Runs)
-    if (r.OrphanedAt < now)
-      for (const std::string &worker : r.Unseen)
+    if (r.AdoptionDeadline < now)
+      for (const std::string &worker : r.UnannouncedWorkers)
         orphans.emplace_back(run, worker);
   for (const auto &[run, worker] : orphans)
-    membersLost(run, worker, now);
+    handleLostMembers(run, worker, now);
 }
 
-// A stop, or the report of its end, can be lost; agents take it any number of
-// times.
+// A stop, or the report that the tasks ended, can be lost. Stops are
+// idempotent, so agents accept them any number of times.
 void GangScheduler::resendStops(absl::Time now) {
   for (auto &[run, r] : Runs)
-    if (r.Why != StopWhy::None && now - r.StopSent >= StopResend)
+    if (r.Cause != StopCause::None && now - r.LastStopSent >= StopResendPeriod)
       sendStop(run, r, now);
 }
 
-void GangScheduler::placeWaiting(absl::Time now) {
-  LastRound = now;
-  Dirty = false;
+void GangScheduler::placePending(absl::Time now) {
+  LastPlacement = now;
+  PlacementDue = false;
   std::stable_sort(Pending.begin(), Pending.end(),
                    [](const PendingGang &a, const PendingGang &b) {
                      auto key = [](const PendingGang &p) {
                        const core::JobRequest &j = p.Request.Job;
                        return std::make_tuple(j.Class != JobClass::Urgent,
                                               j.DeadlineUnixMs == 0,
-                                              j.DeadlineUnixMs, p.Arrived);
+                                              j.DeadlineUnixMs, p.WaitingSince);
                      };
                      return key(a) < key(b);
                    });
   std::vector<PendingGang> waiting = std::exchange(Pending, {});
-  std::set<std::string> draining;
+  std::set<std::string> drainedWorkers;
   for (const PendingGang &gang : waiting)
-    draining.insert(gang.Draining.begin(), gang.Draining.end());
-  // A refusal holds for every later gang of the same needs in this round, so
-  // that a long queue of equal jobs costs one decision and not one each.
-  using Needs = std::tuple<std::string, std::string, core::Shape, JobClass,
-                           bool, std::set<std::string>>;
-  std::map<Needs, placement::Refusal> refused;
+    drainedWorkers.insert(gang.DrainedWorkers.begin(),
+                          gang.DrainedWorkers.end());
+  // A refusal applies to each later gang with the same requirements in this
+  // pass, so that a long queue of equal jobs needs one placement attempt and
+  // not one each.
+  using Requirements = std::tuple<std::string, std::string, core::Shape,
+                                  JobClass, bool, std::set<std::string>>;
+  std::map<Requirements, placement::Refusal> refused;
   for (PendingGang &gang : waiting) {
     const core::JobRequest &job = gang.Request.Job;
-    Needs needs{job.Profile, job.Organisation, job.GangShape,
-                job.Class,   job.Idempotent,   gang.Avoid};
-    auto known = refused.find(needs);
+    Requirements requirements{job.Profile,    job.Organisation,
+                              job.GangShape,  job.Class,
+                              job.Idempotent, gang.AvoidedWorkers};
+    auto knownRefusal = refused.find(requirements);
     std::optional<placement::Refusal> refusal;
-    if (known != refused.end() && gang.Draining.empty())
-      refusal = known->second;
+    if (knownRefusal != refused.end() && gang.DrainedWorkers.empty())
+      refusal = knownRefusal->second;
     else
-      refusal = tryPlace(gang, now, draining);
+      refusal = tryPlace(gang, now, drainedWorkers);
     if (!refusal)
       continue;
-    refused.emplace(std::move(needs), *refusal);
-    const absl::Time until = gang.Arrived + Rules.Patience(job);
-    // Give up at once when waiting cannot help, or when the wait is over; the
-    // answer then says when to come back.
-    if (refusal->RetryAfterMs == 0 || now > until) {
-      giveUp(gang, *refusal);
+    refused.emplace(std::move(requirements), *refusal);
+    const absl::Time waitEnd = gang.WaitingSince + Limits.Patience(job);
+    // Refuse the gang when waiting cannot help or the wait limit is exceeded.
+    // The answer then says when to try again.
+    if (refusal->RetryAfterMs == 0 || now > waitEnd) {
+      refusePending(gang, *refusal);
       continue;
     }
-    if (gang.Draining.empty() && draining.empty() &&
-        now - gang.Arrived >= Rules.StarveAfter &&
+    if (gang.DrainedWorkers.empty() && drainedWorkers.empty() &&
+        now - gang.WaitingSince >= Limits.StarveAfter &&
         refusal->Reason == NotRunReason::NoCapacity &&
         job.GangShape.accelerators() > 1) {
-      gang.Draining = State.drainTarget(job.GangShape, now);
-      draining = gang.Draining;
+      gang.DrainedWorkers = State.drainTarget(job.GangShape, now);
+      drainedWorkers = gang.DrainedWorkers;
     }
-    // Workers that refused or failed it are tried again when no other is left.
+    // If no other worker is left, retry the workers that refused or failed the
+    // gang.
     if (refusal->Reason == NotRunReason::NoCapacity)
-      gang.Avoid.clear();
+      gang.AvoidedWorkers.clear();
     Pending.push_back(std::move(gang));
   }
 }
 
 std::optional<placement::Refusal>
 GangScheduler::tryPlace(PendingGang &gang, absl::Time now,
-                        const std::set<std::string> &draining) {
+                        const std::set<std::string> &drainedWorkers) {
   const core::JobRequest &job = gang.Request.Job;
   const RunId run =
       absl::StrCat(gang.Request.GangId, "/", RunPrefix, ".", NextRun++);
-  // Workers that are being emptied for a large gang take other work only when
-  // that work is urgent and finds no other place.
-  std::set<std::string> avoid = gang.Avoid;
-  if (gang.Draining.empty())
-    avoid.insert(draining.begin(), draining.end());
-  auto verdict = State.admit(run, job, now, avoid);
-  if (std::holds_alternative<placement::Refusal>(verdict) &&
-      avoid != gang.Avoid && job.Class == JobClass::Urgent)
-    verdict = State.admit(run, job, now, gang.Avoid);
-  if (auto *refusal = std::get_if<placement::Refusal>(&verdict)) {
-    if (refusal->Reason == NotRunReason::CanNeverFit && now < SettledAt)
+  // Workers that are kept free for a large gang accept other work only if it is
+  // urgent and fits nowhere else.
+  std::set<std::string> avoidedWorkers = gang.AvoidedWorkers;
+  if (gang.DrainedWorkers.empty())
+    avoidedWorkers.insert(drainedWorkers.begin(), drainedWorkers.end());
+  auto admission = State.admit(run, job, now, avoidedWorkers);
+  if (std::holds_alternative<placement::Refusal>(admission) &&
+      avoidedWorkers != gang.AvoidedWorkers && job.Class == JobClass::Urgent)
+    admission = State.admit(run, job, now, gang.AvoidedWorkers);
+  if (auto *refusal = std::get_if<placement::Refusal>(&admission)) {
+    if (refusal->Reason == NotRunReason::CanNeverFit &&
+        now < AnnouncementDeadline)
       return placement::Refusal{NotRunReason::NoCapacity,
-                                "workers are still announcing themselves",
-                                Rules.RetryAfterMs};
+                                "not all workers have announced themselves yet",
+                                Limits.RetryAfterMs};
     return *refusal;
   }
-  const auto &alloc = std::get<placement::Allocation>(verdict);
+  const auto &alloc = std::get<placement::Allocation>(admission);
   RunState r;
   r.Saved = gang.Saved;
   r.Gang = std::move(gang);
@@ -533,24 +554,26 @@
   r.Watts.assign(alloc.Workers.size(), -1);
   Runs[run] = std::move(r);
   if (alloc.WaitsFor.empty()) {
-    start(run);
+    startRun(run);
     return std::nullopt;
   }
   for (const RunId &victim : alloc.WaitsFor)
-    beginStop(victim, StopWhy::Reclaimed,
-              "its room was reclaimed for " + alloc.Job.Organisation, now);
+    beginStop(victim, StopCause::Reclaimed,
+              "its accelerators were reclaimed for " + alloc.Job.Organisation,
+              now);
   return std::nullopt;
 }
 
-void GangScheduler::giveUp(PendingGang &gang,
-                           const placement::Refusal &refusal) {
-  // A gang that ran and was stopped did run in part: that is no "not run".
+void GangScheduler::refusePending(PendingGang &gang,
+                                  const placement::Refusal &refusal) {
+  // A gang that ran and was stopped has run in part, so it must not be answered
+  // "not run".
   const core::JobRequest &job = gang.Request.Job;
   JobAnswer answer{job.Id,
-                   gang.Ran ? Outcome::Failed : Outcome::NotRun,
-                   gang.Ran ? NotRunReason::None : refusal.Reason,
-                   gang.Ran ? "stopped, then: " + refusal.Detail
-                            : refusal.Detail,
+                   gang.HasRun ? Outcome::Failed : Outcome::NotRun,
+                   gang.HasRun ? NotRunReason::None : refusal.Reason,
+                   gang.HasRun ? "stopped, then: " + refusal.Detail
+                               : refusal.Detail,
                    refusal.RetryAfterMs,
                    {}};
   Actions.push_back(AnswerCaller{gang.Request, std::move(answer)});
