--- a/src/libs/entry/callforwarder.cpp
+++ b/src/libs/entry/callforwarder.cpp
@@ -8,68 +8,72 @@
 
 namespace {
 
-/// An entry answers within the store's few milliseconds, or within the first
-/// try of a store call when an answer was lost (300 ms).
+/// Time for one entry to answer. It covers a call that the store answers in a
+/// few milliseconds, and the first try of a store call whose answer was lost
+/// (300 ms).
 constexpr int AnswerTimeoutMs = 400;
-/// An entry that did not answer is not asked again for so long: callers are
-/// refused at once meanwhile, unless another one answers.
-constexpr absl::Duration SilentFor = absl::Seconds(1);
-/// Entries asked for one call.
-constexpr size_t MostAsked = 2;
+/// Time for which an entry that did not answer gets no further call. If no
+/// other entry answers either, callers are refused at once during this time.
+constexpr absl::Duration EntryRetryDelay = absl::Seconds(1);
+/// Maximum number of entries that are tried for one call.
+constexpr size_t MaxEntriesPerCall = 2;
 
 } // namespace
 
-/// A call while other entries are asked.
-struct CallForwarder::Exchange {
+/// A call that is being forwarded.
+struct CallForwarder::PendingCall {
   endpoints::ForwardedCall Call;
-  Done Answer;
+  OnAnswer Callback;
   absl::Time Deadline;
   std::vector<std::string> Candidates;
-  size_t Asked = 0;
+  size_t TriedCount = 0;
 };
 
 CallForwarder::CallForwarder(utils::EventLoop &loop,
-                             const endpoints::Peers &peers, Others others)
-    : Loop(loop), Peers(peers), OthersNow(std::move(others)) {}
+                             const endpoints::Peers &peers,
+                             OtherEntries otherEntries)
+    : Loop(loop), Peers(peers), ListOtherEntries(std::move(otherEntries)) {}
 
 CallForwarder::~CallForwarder() { *Alive = false; }
 
 std::vector<std::string> CallForwarder::candidates() const {
-  std::vector<std::string> all = OthersNow();
-  all.erase(std::remove_if(all.begin(), all.end(),
-                           [this](const std::string &address) {
-                             auto it = SilentUntil.find(address);
-                             return it != SilentUntil.end() &&
-                                    Loop.now() < it->second;
-                           }),
-            all.end());
-  all.resize(std::min(all.size(), MostAsked));
-  return all;
+  std::vector<std::string> addresses = ListOtherEntries();
+  addresses.erase(std::remove_if(addresses.begin(), addresses.end(),
+                                 [this](const std::string &address) {
+                                   auto it = RetryTimes.find(address);
+                                   return it != RetryTimes.end() &&
+                                          Loop.now() < it->second;
+                                 }),
+                  addresses.end());
+  addresses.resize(std::min(addresses.size(), MaxEntriesPerCall));
+  return addresses;
 }
 
-bool CallForwarder::forward(const endpoints::ForwardedCall &call, Done done) {
-  auto exchange = std::make_shared<Exchange>();
-  exchange->Call = call;
-  exchange->Answer = std::move(done);
-  exchange->Deadline = Loop.now() + absl::Milliseconds(call.TimeLeftMs);
-  exchange->Candidates = candidates();
-  if (exchange->Candidates.empty())
+bool CallForwarder::forward(const endpoints::ForwardedCall &call,
+                            OnAnswer onAnswer) {
+  auto pending = std::make_shared<PendingCall>();
+  pending->Call = call;
+  pending->Callback = std::move(onAnswer);
+  pending->Deadline = Loop.now() + absl::Milliseconds(call.TimeLeftMs);
+  pending->Candidates = candidates();
+  if (pending->Candidates.empty())
     return false;
-  ask(exchange);
+  tryNextEntry(pending);
   return true;
 }
 
-void CallForwarder::ask(const std::shared_ptr<Exchange> &exchange) {
-  const absl::Duration left = exchange->Deadline - Loop.now();
-  if (exchange->Asked == exchange->Candidates.size() ||
+// Sends the call to the next candidate, or reports that none answered.
+void CallForwarder::tryNextEntry(const std::shared_ptr<PendingCall> &pending) {
+  const absl::Duration left = pending->Deadline - Loop.now();
+  if (pending->TriedCount == pending->Candidates.size() ||
       left <= absl::ZeroDuration()) {
-    exchange->Answer(std::nullopt, exchange->Asked > 0);
+    pending->Callback(std::nullopt, pending->TriedCount > 0);
     return;
   }
-  const std::string address = exchange->Candidates[exchange->Asked++];
-  exchange->Call.TimeLeftMs = absl::ToInt64Milliseconds(left);
-  Peers.Call(address, exchange->Call, AnswerTimeoutMs,
-             [this, alive = Alive, exchange,
+  const std::string address = pending->Candidates[pending->TriedCount++];
+  pending->Call.TimeLeftMs = absl::ToInt64Milliseconds(left);
+  Peers.Call(address, pending->Call, AnswerTimeoutMs,
+             [this, alive = Alive, pending,
               address](const std::optional<endpoints::Message> &reply) {
                if (!*alive)
                  return;
@@ -77,11 +81,11 @@
                    reply ? std::get_if<endpoints::ForwardedAnswer>(&*reply)
                          : nullptr;
                if (answer != nullptr) {
-                 exchange->Answer(*answer, exchange->Asked > 1);
+                 pending->Callback(*answer, pending->TriedCount > 1);
                  return;
                }
-               SilentUntil[address] = Loop.now() + SilentFor;
-               ask(exchange);
+               RetryTimes[address] = Loop.now() + EntryRetryDelay;
+               tryNextEntry(pending);
              });
 }
 
--- a/src/libs/entry/callforwarder.h
+++ b/src/libs/entry/callforwarder.h
@@ -17,40 +17,44 @@
 
 namespace oriolebay::entry {
 
-/// Hands callers' calls to other entries while the store does not serve this
-/// one: the store may turn single entries away, or a cut may part them from it,
-/// while the others serve. Without it such a caller was told to come back in a
-/// second, and urgent jobs came late by that. Owned by one event loop.
+/// Forwards callers' calls to other entries while the store does not serve this
+/// one: the store may refuse single entries, or a network partition may
+/// separate them from it, while it serves the others. Without forwarding, such
+/// a caller is told to retry after a second, which makes urgent jobs late by
+/// that time. Owned by one event loop.
 class CallForwarder {
 public:
-  /// The other entries' addresses, the best to ask first.
-  using Others = std::function<std::vector<std::string>()>;
-  /// The answer; nothing when no entry answered. MayBeDone: one of them may
-  /// have carried the call out all the same.
-  using Done = std::function<void(
-      const std::optional<endpoints::ForwardedAnswer> &, bool mayBeDone)>;
+  /// Returns the addresses of the other entries, the preferred one first.
+  using OtherEntries = std::function<std::vector<std::string>()>;
+  /// Called with the answer, or with nothing if no entry answered.
+  /// PossiblyExecuted: an entry may have executed the call although its answer
+  /// is missing.
+  using OnAnswer =
+      std::function<void(const std::optional<endpoints::ForwardedAnswer> &,
+                         bool possiblyExecuted)>;
 
   CallForwarder(utils::EventLoop &loop, const endpoints::Peers &peers,
-                Others others);
+                OtherEntries otherEntries);
   ~CallForwarder();
   CallForwarder(const CallForwarder &) = delete;
   CallForwarder &operator=(const CallForwarder &) = delete;
 
-  /// False when no other entry is known to answer; Done is not called then.
-  bool forward(const endpoints::ForwardedCall &call, Done done);
+  /// Forwards a call. Returns false, without calling onAnswer, if there is no
+  /// entry to forward it to.
+  bool forward(const endpoints::ForwardedCall &call, OnAnswer onAnswer);
 
 private:
-  struct Exchange;
+  struct PendingCall;
 
   std::vector<std::string> candidates() const;
-  void ask(const std::shared_ptr<Exchange> &exchange);
+  void tryNextEntry(const std::shared_ptr<PendingCall> &pending);
 
   utils::EventLoop &Loop;
   const endpoints::Peers &Peers;
-  const Others OthersNow;
+  const OtherEntries ListOtherEntries;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  /// Entries that did not answer, and when they may be asked again.
-  std::map<std::string, absl::Time> SilentUntil;
+  /// Entries that did not answer, and when they can be tried again.
+  std::map<std::string, absl::Time> RetryTimes;
 };
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/decisionlog.cpp
+++ b/src/libs/entry/decisionlog.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Event eventOf(jobs::Decision::Kind kind) {
+Event eventFor(jobs::Decision::Kind kind) {
   using Kind = jobs::Decision::Kind;
   switch (kind) {
   case Kind::Placed:
@@ -68,7 +68,7 @@
     fields[input.Name] = input.Value;
   for (const auto &[name, text] : d.Texts)
     fields[name] = text;
-  logEvent(eventOf(d.What), fields);
+  logEvent(eventFor(d.What), fields);
 }
 
 void logCall(const jobs::CallDecision &d) {
--- a/src/libs/entry/decisionlog.h
+++ b/src/libs/entry/decisionlog.h
@@ -5,9 +5,10 @@
 
 namespace oriolebay::entry {
 
-/// Logs what the scheduler decided, as the event of docs/EVENTS.md.
+/// Logs a decision of the scheduler as the corresponding event of
+/// docs/EVENTS.md.
 void logDecision(const jobs::Decision &decision);
-/// Logs how a caller's call was answered.
+/// Logs the result of a caller's call.
 void logCall(const jobs::CallDecision &decision);
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/decisionpacer.h
+++ b/src/libs/entry/decisionpacer.h
@@ -4,25 +4,28 @@
 
 namespace oriolebay::entry {
 
-/// Leaves the leader time for what must not wait while there is more to decide
-/// than it has time for. In a burst, reports that grant its agents time queued
-/// up behind decisions; all agents gave the leader up at once, and their runs
-/// lapsed. After a decision the next one is due no sooner than a few times what
-/// that took, so that a bounded share of the time goes to decisions, and facts
-/// that come meanwhile are decided on together.
+/// Limits the share of time that the leader spends on scheduling decisions, so
+/// that urgent messages are handled in time. Without it, in a burst the reports
+/// by which agents are granted time to keep their tasks alive queue up behind
+/// decisions; then all agents give up the leader at once and the leases of
+/// their runs expire. After a decision the next one is due no sooner than a
+/// multiple of its duration later. This bounds the share of time, and inputs
+/// that arrive in between are covered by one decision.
 class DecisionPacer {
 public:
-  /// A decision that took T is followed by a rest of rest times T.
-  explicit DecisionPacer(int rest) : Rest(rest) {}
+  /// After a decision of duration T the next one is due restFactor times T
+  /// later at the earliest.
+  explicit DecisionPacer(int restFactor) : RestFactor(restFactor) {}
 
-  bool due(absl::Time now) const { return now >= Next; }
+  bool due(absl::Time now) const { return now >= NextDue; }
+  /// Records the start and the end of a decision.
   void decided(absl::Time began, absl::Time ended) {
-    Next = ended + (ended - began) * Rest;
+    NextDue = ended + (ended - began) * RestFactor;
   }
 
 private:
-  const int Rest;
-  absl::Time Next = absl::InfinitePast();
+  const int RestFactor;
+  absl::Time NextDue = absl::InfinitePast();
 };
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/dispatcher.cpp
+++ b/src/libs/entry/dispatcher.cpp
@@ -11,13 +11,15 @@
 } // namespace
 
 Dispatcher::Dispatcher(int threads, size_t capacity, OnOutcome onOutcome)
-    : Deliver(std::move(onOutcome)) {
+    : ReportOutcome(std::move(onOutcome)) {
   for (int i = 0; i < threads; ++i)
-    Queues.push_back(std::make_unique<utils::BoundedQueue<Job>>(capacity));
+    Queues.push_back(std::make_unique<utils::BoundedQueue<Command>>(capacity));
   for (auto &queue : Queues)
     Threads.emplace_back([this, &queue] {
-      while (std::optional<Job> job = queue->pop(absl::InfiniteDuration()))
-        std::visit([this](const auto &j) { run(j); }, *job);
+      while (std::optional<Command> command =
+                 queue->pop(absl::InfiniteDuration()))
+        std::visit([this](const auto &startOrStop) { execute(startOrStop); },
+                   *command);
     });
 }
 
@@ -31,7 +33,7 @@
       t.join();
 }
 
-utils::BoundedQueue<Dispatcher::Job> &
+utils::BoundedQueue<Dispatcher::Command> &
 Dispatcher::queueOf(const scheduler::RunId &run) {
   return *Queues[std::hash<std::string>()(run) % Queues.size()];
 }
@@ -39,27 +41,28 @@
 bool Dispatcher::start(int64_t epoch, int64_t configVersion,
                        scheduler::StartGang gang) {
   auto &queue = queueOf(gang.Run);
-  return queue.tryPush(StartJob{epoch, configVersion, std::move(gang)});
+  return queue.tryPush(StartCommand{epoch, configVersion, std::move(gang)});
 }
 
 bool Dispatcher::stop(int64_t epoch, scheduler::StopGang gang) {
   auto &queue = queueOf(gang.Run);
-  return queue.tryPush(StopJob{epoch, std::move(gang)});
+  return queue.tryPush(StopCommand{epoch, std::move(gang)});
 }
 
 void Dispatcher::setAddress(const std::string &workerId,
                             const std::string &address) {
   absl::MutexLock lock(&Mu);
   auto &channel = Channels[workerId];
-  // A restarted agent may listen elsewhere: the old channel would never answer.
+  // A restarted agent may listen at another address, and the channel to the old
+  // one would never answer.
   if (channel == nullptr || channel->address() != address)
     channel = std::make_shared<endpoints::RequestChannel>(address);
 }
 
-void Dispatcher::keepOnly(
-    const std::function<bool(const std::string &)> &known) {
+void Dispatcher::retainChannels(
+    const std::function<bool(const std::string &)> &isKnown) {
   absl::MutexLock lock(&Mu);
-  absl::erase_if(Channels, [&](const auto &c) { return !known(c.first); });
+  absl::erase_if(Channels, [&](const auto &c) { return !isKnown(c.first); });
 }
 
 std::shared_ptr<endpoints::RequestChannel>
@@ -76,7 +79,7 @@
   std::vector<std::string> workers;
   std::vector<std::shared_ptr<endpoints::RequestChannel>> channels;
   std::vector<Message> messages;
-  for (const auto &[worker, list] : members) {
+  for (const auto &[worker, memberNumbers] : members) {
     auto channel = channelTo(worker);
     if (channel == nullptr) {
       failed[worker] = "its agent has not announced itself";
@@ -84,7 +87,7 @@
     }
     workers.push_back(worker);
     channels.push_back(std::move(channel));
-    messages.push_back(messageFor(list));
+    messages.push_back(messageFor(memberNumbers));
   }
   endpoints::callAll(channels, messages, AgentCallTimeoutMs,
                      [&](size_t i, const utils::Result<Message> &reply) {
@@ -99,48 +102,49 @@
   return failed;
 }
 
-void Dispatcher::run(const StartJob &job) {
-  const scheduler::StartGang &gang = job.Gang;
+void Dispatcher::execute(const StartCommand &command) {
+  const scheduler::StartGang &gang = command.Gang;
   const core::JobRequest &request = gang.Request.Job;
   MembersByWorker members;
   for (size_t m = 0; m < gang.Workers.size(); ++m)
     members[gang.Workers[m]].push_back(static_cast<int>(m));
-  // A gang runs whole or not at all: while any worker can still say no,
-  // nothing has been started anywhere.
-  auto failed = sendAll(members, [&](const std::vector<int> &list) {
-    return endpoints::Reserve{job.Epoch, gang.Run, list,
+  // A gang runs as a whole or not at all, so nothing is started until every
+  // worker has reserved its accelerators.
+  auto failed = sendAll(members, [&](const std::vector<int> &memberNumbers) {
+    return endpoints::Reserve{command.Epoch, gang.Run, memberNumbers,
                               request.GangShape.AcceleratorsPerMember,
-                              job.ConfigVersion};
+                              command.ConfigVersion};
   });
   if (!failed.empty()) {
     sendAll(members, [&](const std::vector<int> &) {
-      return endpoints::Release{job.Epoch, gang.Run};
+      return endpoints::Release{command.Epoch, gang.Run};
     });
-    Deliver({StartOutcome::Kind::Refused, gang.Run, failed.begin()->first,
-             failed.begin()->second});
+    ReportOutcome({StartOutcome::Kind::Refused, gang.Run, failed.begin()->first,
+                   failed.begin()->second});
     return;
   }
-  failed = sendAll(members, [&](const std::vector<int> &list) {
-    return endpoints::Run{job.Epoch,
+  failed = sendAll(members, [&](const std::vector<int> &memberNumbers) {
+    return endpoints::Run{command.Epoch,
                           gang.Run,
                           request.Id,
-                          list,
+                          memberNumbers,
                           request.Payload,
                           gang.Saved,
                           request.GangShape.PowerWattsPerMember};
   });
-  // An unanswered start may have taken effect: never "not run" from here on.
+  // A start without an answer may have taken effect, so from here on the gang
+  // must not be reported as not started.
   if (failed.empty())
-    Deliver({StartOutcome::Kind::Started, gang.Run, "", ""});
+    ReportOutcome({StartOutcome::Kind::Started, gang.Run, "", ""});
   else
-    Deliver({StartOutcome::Kind::Unconfirmed, gang.Run, failed.begin()->first,
-             failed.begin()->second});
+    ReportOutcome({StartOutcome::Kind::Unconfirmed, gang.Run,
+                   failed.begin()->first, failed.begin()->second});
 }
 
-void Dispatcher::run(const StopJob &job) {
-  // A stop that fails is sent again by the scheduler until the end is known.
-  sendAll(job.Gang.Members, [&](const std::vector<int> &list) {
-    return endpoints::Stop{job.Epoch, job.Gang.Run, list};
+void Dispatcher::execute(const StopCommand &command) {
+  // The scheduler sends a failed stop again until the end of the run is known.
+  sendAll(command.Gang.Members, [&](const std::vector<int> &memberNumbers) {
+    return endpoints::Stop{command.Epoch, command.Gang.Run, memberNumbers};
   });
 }
 
--- a/src/libs/entry/dispatcher.h
+++ b/src/libs/entry/dispatcher.h
@@ -16,9 +16,9 @@
 
 namespace oriolebay::entry {
 
-/// What became of a start. Started: every agent confirmed. Refused: nothing
-/// was started, because Worker said no or did not answer. Unconfirmed: some
-/// member may have been started.
+/// The result of starting a run. Started: every agent confirmed. Refused:
+/// nothing was started, because Worker refused or did not answer. Unconfirmed:
+/// some members may have been started.
 struct StartOutcome {
   enum class Kind { Started, Refused, Unconfirmed };
   Kind What = Kind::Started;
@@ -27,10 +27,11 @@
   std::string Detail;
 };
 
-/// Starts and stops gangs on their agents, in two phases: every worker first
-/// holds its room, and only when all do is any member started. Messages go one
-/// a worker, to all workers at the same time. Threads share the runs; the
-/// messages of one run keep their order.
+/// Starts and stops gangs on their agents. A start has two phases: first every
+/// worker reserves the accelerators of its members, and only if all have done
+/// so are the members started. Each worker gets one message per phase, and all
+/// workers get theirs at the same time. The runs are distributed over several
+/// threads; the messages of one run keep their order.
 class Dispatcher {
 public:
   using OnOutcome = std::function<void(StartOutcome)>;
@@ -38,45 +39,46 @@
   Dispatcher(int threads, size_t capacity, OnOutcome onOutcome);
   ~Dispatcher();
 
-  /// Where a worker's agent listens now.
+  /// Sets the address at which a worker's agent listens.
   void setAddress(const std::string &workerId, const std::string &address);
-  /// Forgets the channels of workers not in known.
-  void keepOnly(const std::function<bool(const std::string &)> &known);
+  /// Removes the channels of workers for which isKnown returns false.
+  void retainChannels(const std::function<bool(const std::string &)> &isKnown);
 
-  /// False when too much waits to be sent.
+  /// Queues a start or a stop. Both return false if the queue is full.
   bool start(int64_t epoch, int64_t configVersion, scheduler::StartGang gang);
   bool stop(int64_t epoch, scheduler::StopGang gang);
   void shutDown();
 
 private:
-  struct StartJob {
+  struct StartCommand {
     int64_t Epoch = 0;
     int64_t ConfigVersion = 0;
     scheduler::StartGang Gang;
   };
-  struct StopJob {
+  struct StopCommand {
     int64_t Epoch = 0;
     scheduler::StopGang Gang;
   };
-  using Job = std::variant<StartJob, StopJob>;
+  using Command = std::variant<StartCommand, StopCommand>;
   using MembersByWorker = std::map<std::string, std::vector<int>>;
 
-  utils::BoundedQueue<Job> &queueOf(const scheduler::RunId &run);
+  utils::BoundedQueue<Command> &queueOf(const scheduler::RunId &run);
   std::shared_ptr<endpoints::RequestChannel>
   channelTo(const std::string &workerId);
-  /// Sends one message a worker; returns why each failed, empty for a yes.
+  /// Sends one message to each worker. Returns the reason for each worker that
+  /// refused or did not answer.
   std::map<std::string, std::string>
   sendAll(const MembersByWorker &members,
           const std::function<endpoints::Message(const std::vector<int> &)>
               &messageFor);
-  void run(const StartJob &job);
-  void run(const StopJob &job);
+  void execute(const StartCommand &command);
+  void execute(const StopCommand &command);
 
-  const OnOutcome Deliver;
+  const OnOutcome ReportOutcome;
   absl::Mutex Mu;
   absl::flat_hash_map<std::string, std::shared_ptr<endpoints::RequestChannel>>
       Channels;
-  std::vector<std::unique_ptr<utils::BoundedQueue<Job>>> Queues;
+  std::vector<std::unique_ptr<utils::BoundedQueue<Command>>> Queues;
   std::vector<std::thread> Threads;
 };
 
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -23,19 +23,23 @@
 constexpr int DispatchThreads = 4;
 constexpr int EntryCallTimeoutMs = 1000;
 constexpr int ReplyAttempts = 10;
-// How many given answers are kept for entries that ask again.
-constexpr size_t RecentKept = 4096;
-// How long one watch call waits in the store. A change answers the call at
-// once; the period only bounds how long a graceful stop waits for the
-// watcher, at one store call a second per entry when nothing changes.
+// Number of answers that are kept for entries that submit a gang again.
+constexpr size_t MaxRecentAnswers = 4096;
+// Maximum time in milliseconds for which the store holds a watch call. A change
+// answers the call at once. The period only limits how long a graceful stop
+// waits for the watcher, and costs one store call per second and entry when
+// nothing changes.
 constexpr long WatchPollMs = 1000;
 const absl::Duration TickPeriod = absl::Milliseconds(20);
 const absl::Duration StatsPeriod = absl::Milliseconds(100);
-constexpr int StatsShare = 200;
-// A whole worker of the sites of today: what fragmentation is measured by
-// while no gang waits.
+// The time between two updates of the counters is at least this many times the
+// duration of one.
+constexpr int StatsTimeRatio = 200;
+// Accelerators of a whole worker at current sites. Fragmentation is computed
+// for members of this width, or of the widest waiting gang if that is wider.
 constexpr int ReferenceWidth = 8;
-// Room for the clock of a back end that runs slow, and for its stopping.
+// Allowance for a back end whose clock is slow, and for the time that it needs
+// to stop a task.
 const absl::Duration LeaseSlack = absl::Seconds(1);
 
 void reportStoreError(const utils::Error &e) {
@@ -59,20 +63,20 @@
       [this](endpoints::Message m) {
         return LeadingEpoch != 0 && Inbox.tryPush(std::move(m));
       });
-  Dispatch = std::make_unique<Dispatcher>(
+  GangDispatcher = std::make_unique<Dispatcher>(
       DispatchThreads, static_cast<size_t>(Settings.MaxPendingJobs),
-      [this](StartOutcome o) { put(std::move(o)); });
-  Records = std::make_unique<Recorder>(
+      [this](StartOutcome o) { enqueue(std::move(o)); });
+  RunRecorder = std::make_unique<Recorder>(
       Kv, static_cast<size_t>(Settings.MaxPendingJobs), Settings.RetryAfterMs,
-      [this](RecordOutcome o) { put(std::move(o)); }, reportStoreError);
-  SchedulerThread = std::thread([this] { schedule(); });
-  Replier = std::thread([this] { sendReplies(); });
+      [this](RecordOutcome o) { enqueue(std::move(o)); }, reportStoreError);
+  SchedulerThread = std::thread([this] { runScheduler(); });
+  ReplyThread = std::thread([this] { sendReplies(); });
   Watcher = std::make_unique<operators::ProfileWatcher>(
-      Kv, [this](const core::Profile &p) { put(p); }, reportStoreError,
+      Kv, [this](const core::Profile &p) { enqueue(p); }, reportStoreError,
       WatchPollMs);
   Election = std::make_unique<platform::LeaderElection>(
       Kv, Server->address(), Settings.LeaderLeaseS,
-      [this](const platform::Leadership &l) { put(l); }, reportStoreError);
+      [this](const platform::Leadership &l) { enqueue(l); }, reportStoreError);
   Api = std::make_unique<callers::CallerApi>(
       Settings.HttpHost, Settings.HttpPort, Settings.MaxCallers,
       [this](const core::JobRequest &j) { return submit(j); },
@@ -121,7 +125,7 @@
       steadyNow() + absl::Milliseconds(Settings.DrainTimeoutMs);
   while (Callers->waiting() > 0 && steadyNow() < deadline)
     absl::SleepFor(TickPeriod);
-  const int left = Callers->waiting();
+  const int unanswered = Callers->waiting();
   Callers->shutDown();
   Api->stop();
   if (LeadingEpoch != 0)
@@ -129,14 +133,14 @@
   Watcher->stop();
   Election->stop();
   Stopping = true;
-  Dispatch->shutDown();
-  Records->stop();
+  GangDispatcher->shutDown();
+  RunRecorder->stop();
   Inbox.close();
   SchedulerThread.join();
   Replies.close();
-  Replier.join();
+  ReplyThread.join();
   Server->stop();
-  logEvent(Event::ProcessStopped, {{"in_flight", left}});
+  logEvent(Event::ProcessStopped, {{"in_flight", unanswered}});
 }
 
 JobAnswer EntryService::submit(const core::JobRequest &job) {
@@ -145,10 +149,10 @@
                                 {"organisation", job.Organisation},
                                 {"shape", job.GangShape},
                                 {"class", job.Class}});
-  JobAnswer answer =
-      core::notRun(job.Id, NotRunReason::ShuttingDown,
-                   "this entry is stopping; another entry will serve",
-                   Settings.RetryAfterMs);
+  JobAnswer answer = core::notRun(
+      job.Id, NotRunReason::ShuttingDown,
+      "this entry is stopping; another entry will serve the request",
+      Settings.RetryAfterMs);
   if (!Draining)
     answer = Callers->submit(job);
   if (answer.Result == Outcome::NotRun) {
@@ -160,9 +164,9 @@
   return answer;
 }
 
-void EntryService::put(const Input &input) {
-  // What the watcher, the election, the recorder and the dispatcher say must
-  // not be dropped; the scheduler empties the queue all the time.
+void EntryService::enqueue(const Input &input) {
+  // Inputs from the watcher, the election, the recorder and the dispatcher must
+  // not be dropped. The scheduler's thread empties the queue continuously.
   while (!Inbox.tryPush(input) && !Stopping)
     absl::SleepFor(absl::Milliseconds(1));
 }
@@ -172,16 +176,16 @@
   ack.ConfigVersion = ConfigVersion;
   ack.TaskLeaseMs = Settings.TaskLeaseMs;
   if (const auto *answered = std::get_if<endpoints::Answered>(&message)) {
-    Callers->deliver(*answered);
+    Callers->handleAnswer(*answered);
     return ack;
   }
   const int64_t epoch = LeadingEpoch;
-  // In an outage of the store a leader that has been replaced may not have
-  // heard of it. Past this bound it lets its agents' leases run out; the next
-  // leader waits as long for workers it has never heard from.
-  const bool held = steadyNow() - Election->confirmed() <
-                    absl::Milliseconds(Settings.OutageHoldMs);
-  if (epoch == 0 || !held || Stopping) {
+  // During an outage of the store a leader that was replaced may not know it.
+  // Beyond this time limit it lets the leases of its agents expire. The next
+  // leader waits for the same time for workers that have not reported to it.
+  const bool leadConfirmed = steadyNow() - Election->confirmed() <
+                             absl::Milliseconds(Settings.OutageHoldMs);
+  if (epoch == 0 || !leadConfirmed || Stopping) {
     ack.Ok = false;
     ack.Detail = "this entry does not lead";
     return ack;
@@ -193,7 +197,7 @@
   return ack;
 }
 
-void EntryService::schedule() {
+void EntryService::runScheduler() {
   absl::Time nextStats = absl::InfinitePast();
   while (true) {
     std::optional<Input> input = Inbox.pop(TickPeriod);
@@ -201,18 +205,19 @@
       break;
     for (; input; input = Inbox.pop(absl::ZeroDuration())) {
       std::visit([this](const auto &in) { handle(in); }, *input);
-      carryOut();
+      performActions();
     }
     if (Scheduler) {
       Scheduler->tick(steadyNow());
-      carryOut();
+      performActions();
     }
     const absl::Time now = steadyNow();
     if (now >= nextStats) {
       publishStats();
-      // On a large site a snapshot takes milliseconds; it never takes more
-      // than a two-hundredth of this thread's time.
-      nextStats = now + std::max(StatsPeriod, StatsShare * (steadyNow() - now));
+      // On a large site an update takes milliseconds. It is limited to a
+      // two-hundredth of this thread's time.
+      nextStats =
+          now + std::max(StatsPeriod, StatsTimeRatio * (steadyNow() - now));
     }
   }
 }
@@ -236,14 +241,14 @@
     logEvent(Event::WorkerJoined, {{"worker", announce.Worker}});
   if (announce.Leaving)
     logEvent(Event::WorkerLeaving, {{"worker", id}});
-  Dispatch->setAddress(id, announce.Worker.Address);
+  GangDispatcher->setAddress(id, announce.Worker.Address);
   Scheduler->onAnnounce(announce, announce.Epoch >= LeadingEpoch, steadyNow());
 }
 
 void EntryService::onSubmit(const endpoints::Submit &submit) {
-  ReplyTo[submit.GangId] = submit.ReplyTo;
-  auto it = Recent.find(submit.GangId);
-  if (it != Recent.end()) {
+  ReplyAddresses[submit.GangId] = submit.ReplyTo;
+  auto it = RecentAnswers.find(submit.GangId);
+  if (it != RecentAnswers.end()) {
     sendAnswer(submit.GangId, it->second);
     return;
   }
@@ -251,13 +256,13 @@
 }
 
 void EntryService::handle(const core::Profile &profile) {
-  core::Profile &held = Profiles[profile.Name];
-  const bool newer = held.Version < profile.Version;
-  logEvent(newer ? Event::ProfileAccepted : Event::ProfileRefusedStale,
+  core::Profile &current = Profiles[profile.Name];
+  const bool isNewer = current.Version < profile.Version;
+  logEvent(isNewer ? Event::ProfileAccepted : Event::ProfileRefusedStale,
            {{"profile", profile.Name}, {"version", profile.Version}});
-  if (!newer)
+  if (!isNewer)
     return;
-  held = profile;
+  current = profile;
   ConfigVersion = std::max(ConfigVersion.load(), profile.Version);
   if (Scheduler)
     Scheduler->onProfile(profile);
@@ -270,18 +275,18 @@
   logEvent(Event::LeaderFollowed,
            {{"epoch", Leader.Epoch}, {"leader", Leader.Address}});
   if (Leader.Mine)
-    lead();
-  Callers->follow(Leader);
+    startLeading();
+  Callers->onLeadership(Leader);
 }
 
-void EntryService::lead() {
+void EntryService::startLeading() {
   std::vector<scheduler::AdoptedRun> runs;
   bool loaded = false;
   while (!loaded && !Stopping) {
     loaded = utils::handle<bool>(
         [&]() -> utils::Result<bool> {
-          BOOST_LEAF_AUTO(found, Records->load());
-          runs = found;
+          BOOST_LEAF_AUTO(unendedRuns, RunRecorder->loadUnendedRuns());
+          runs = unendedRuns;
           return true;
         },
         [](const utils::Error &e) {
@@ -298,7 +303,7 @@
   for (const scheduler::AdoptedRun &run : runs) {
     logEvent(Event::GangAdopted,
              {{"run", run.Run}, {"job", run.Request.Job.Id}});
-    Recorded.insert(run.Run);
+    RecordedRuns.insert(run.Run);
     Scheduler->adopt(
         run, now,
         absl::Milliseconds(Settings.OutageHoldMs + Settings.TaskLeaseMs) +
@@ -312,11 +317,11 @@
 void EntryService::stepDown() {
   LeadingEpoch = 0;
   Scheduler.reset();
-  Recording.clear();
-  Recorded.clear();
-  ReplyTo.clear();
-  Recent.clear();
-  RecentOrder.clear();
+  RunsBeingRecorded.clear();
+  RecordedRuns.clear();
+  ReplyAddresses.clear();
+  RecentAnswers.clear();
+  RecentAnswerOrder.clear();
   logEvent(Event::LeaderLost, {{"epoch", Leader.Epoch}});
 }
 
@@ -338,87 +343,90 @@
   return p;
 }
 
-void EntryService::carryOut() {
+void EntryService::performActions() {
   if (!Scheduler)
     return;
   for (const scheduler::Action &action : Scheduler->takeActions())
-    std::visit([this](const auto &a) { act(a); }, action);
+    std::visit([this](const auto &a) { perform(a); }, action);
 }
 
 void EntryService::recordStart(const RecordStart &request) {
   const scheduler::StartGang &start = request.Start;
-  if (Records->start(request))
+  if (RunRecorder->start(request))
     return;
-  Recording.erase(start.Run);
+  RunsBeingRecorded.erase(start.Run);
   Scheduler->onStartAborted(
-      start.Run, core::notRun(start.Request.Job.Id, NotRunReason::Overloaded,
-                              "too many starts wait for the store",
-                              Settings.RetryAfterMs));
-  carryOut();
+      start.Run,
+      core::notRun(start.Request.Job.Id, NotRunReason::Overloaded,
+                   "too many starts are waiting to be written to the store",
+                   Settings.RetryAfterMs));
+  performActions();
 }
 
-void EntryService::act(const scheduler::StartGang &start) {
-  Recording[start.Run] = std::nullopt;
+void EntryService::perform(const scheduler::StartGang &start) {
+  RunsBeingRecorded[start.Run] = std::nullopt;
   recordStart({LeadingEpoch, start, 0});
 }
 
 void EntryService::handle(const RecordOutcome &outcome) {
   const scheduler::StartGang &start = outcome.Request.Start;
-  auto it = Recording.find(start.Run);
+  auto it = RunsBeingRecorded.find(start.Run);
   if (!Scheduler || outcome.Request.Epoch != LeadingEpoch ||
-      it == Recording.end())
+      it == RunsBeingRecorded.end())
     return;
-  const std::optional<scheduler::StopGang> stopped = it->second;
-  const auto aborted = [&](JobAnswer answer) {
-    Recording.erase(start.Run);
+  const std::optional<scheduler::StopGang> requestedStop = it->second;
+  const auto abortStart = [&](JobAnswer answer) {
+    RunsBeingRecorded.erase(start.Run);
     Scheduler->onStartAborted(start.Run, std::move(answer));
   };
   switch (outcome.What) {
   case RecordOutcome::Kind::Refused:
     if (outcome.Answer.Result != Outcome::NotRun)
       ++Duplicates;
-    return aborted(outcome.Answer);
-  case RecordOutcome::Kind::Taken: {
+    return abortStart(outcome.Answer);
+  case RecordOutcome::Kind::KeyInUse: {
     ++Duplicates;
     logEvent(Event::JobDuplicate,
              {{"job", start.Request.Job.Id}, {"holder", outcome.Holder}});
-    auto recent = Recent.find(outcome.Holder);
-    const bool answered =
-        recent != Recent.end() && recent->second.Result != Outcome::NotRun;
-    if (answered) {
+    auto recent = RecentAnswers.find(outcome.Holder);
+    const bool isAnswered = recent != RecentAnswers.end() &&
+                            recent->second.Result != Outcome::NotRun;
+    if (isAnswered) {
       JobAnswer answer = recent->second;
       answer.JobId = start.Request.Job.Id;
-      return aborted(std::move(answer));
+      return abortStart(std::move(answer));
     }
     if (Scheduler->knows(outcome.Holder))
-      return aborted({start.Request.Job.Id,
-                      Outcome::InProgress,
-                      NotRunReason::None,
-                      "an earlier attempt with this idempotency key has not "
-                      "ended; ask again for its answer",
-                      Settings.RetryAfterMs,
-                      {}});
-    // The leader knows every run there is. A holder that it does not know was
-    // answered "not run" after its record was written and the reply was lost.
-    RecordStart again = outcome.Request;
-    again.PriorRevision = outcome.HolderRevision;
-    recordStart(again);
+      return abortStart({start.Request.Job.Id,
+                         Outcome::InProgress,
+                         NotRunReason::None,
+                         "an earlier attempt with this idempotency key has not "
+                         "ended; retry the request to get its answer",
+                         Settings.RetryAfterMs,
+                         {}});
+    // The leader knows all runs. A holder that it does not know was answered
+    // "not run" after its record had been written but the reply was lost.
+    RecordStart retry = outcome.Request;
+    retry.PriorRevision = outcome.HolderRevision;
+    recordStart(retry);
     return;
   }
-  case RecordOutcome::Kind::Deposed:
-    // Its lease lapsed while it was paused and it has not heard so yet. The
-    // gang did not start; its caller waits on, and the entry that holds it
-    // hands the gang to the new leader as soon as the election tells.
-    Recording.erase(start.Run);
+  case RecordOutcome::Kind::LeadershipLost:
+    // The lease of this entry expired while its process was paused, and it has
+    // not been notified yet. The gang was not started and its caller continues
+    // to wait: the entry that holds the caller submits the gang to the new
+    // leader as soon as it is notified of the election.
+    RunsBeingRecorded.erase(start.Run);
     return;
   case RecordOutcome::Kind::Recorded:
     break;
   }
-  Recording.erase(start.Run);
-  Recorded.insert(start.Run);
-  if (stopped) {
-    // Stopped before anything of it was sent: every member ends as stopped.
-    for (const auto &[worker, members] : stopped->Members)
+  RunsBeingRecorded.erase(start.Run);
+  RecordedRuns.insert(start.Run);
+  if (requestedStop) {
+    // The run was stopped before any message was sent, so every member ends as
+    // stopped.
+    for (const auto &[worker, members] : requestedStop->Members)
       for (int m : members)
         Scheduler->onTaskResult({start.Run, m, worker,
                                  endpoints::TaskEnd::Stopped, "did not run",
@@ -426,17 +434,17 @@
                                 steadyNow());
     return;
   }
-  if (!Dispatch->start(LeadingEpoch, ConfigVersion, start))
+  if (!GangDispatcher->start(LeadingEpoch, ConfigVersion, start))
     Scheduler->onStartRefused(start.Run, "");
 }
 
-void EntryService::act(const scheduler::StopGang &stop) {
-  auto it = Recording.find(stop.Run);
-  if (it != Recording.end())
+void EntryService::perform(const scheduler::StopGang &stop) {
+  auto it = RunsBeingRecorded.find(stop.Run);
+  if (it != RunsBeingRecorded.end())
     it->second = stop;
   else
-    // A stop that finds no room in the queue is sent again by the scheduler.
-    Dispatch->stop(LeadingEpoch, stop);
+    // If the queue is full, the scheduler sends the stop again.
+    GangDispatcher->stop(LeadingEpoch, stop);
 }
 
 void EntryService::handle(const StartOutcome &outcome) {
@@ -465,64 +473,66 @@
   }
 }
 
-void EntryService::act(const scheduler::AnswerCaller &answer) {
+void EntryService::perform(const scheduler::AnswerCaller &answer) {
   if (answer.Answer.Result == Outcome::Done ||
       answer.Answer.Result == Outcome::Failed) {
     ++Finished;
     logEvent(Event::JobFinished, {{"job", answer.Request.Job.Id},
                                   {"outcome", answer.Answer.Result}});
   }
-  // A non-idempotent gang must keep its answer whatever happens; an idempotent
-  // one that nobody has asked for yet may run again for whoever does.
+  // The answer of a non-idempotent gang must always be kept. An idempotent gang
+  // for which no caller has asked yet can run again for the caller that asks
+  // for it.
   if (!answer.Orphan || !answer.Request.Job.Idempotent)
-    remember(answer.Request.GangId, answer.Answer);
+    cacheAnswer(answer.Request.GangId, answer.Answer);
   sendAnswer(answer.Request.GangId, answer.Answer);
 }
 
-void EntryService::remember(const std::string &gangId,
-                            const JobAnswer &answer) {
-  if (!Recent.emplace(gangId, answer).second)
+void EntryService::cacheAnswer(const std::string &gangId,
+                               const JobAnswer &answer) {
+  if (!RecentAnswers.emplace(gangId, answer).second)
     return;
-  RecentOrder.push_back(gangId);
-  if (RecentOrder.size() > RecentKept) {
-    Recent.erase(RecentOrder.front());
-    RecentOrder.pop_front();
+  RecentAnswerOrder.push_back(gangId);
+  if (RecentAnswerOrder.size() > MaxRecentAnswers) {
+    RecentAnswers.erase(RecentAnswerOrder.front());
+    RecentAnswerOrder.pop_front();
   }
 }
 
 void EntryService::sendAnswer(const std::string &gangId,
                               const JobAnswer &answer) {
-  auto it = ReplyTo.find(gangId);
-  if (it == ReplyTo.end())
+  auto it = ReplyAddresses.find(gangId);
+  if (it == ReplyAddresses.end())
     return;
   const Reply reply{it->second, {gangId, answer}};
-  ReplyTo.erase(it);
+  ReplyAddresses.erase(it);
   if (reply.Address == Server->address())
-    Callers->deliver(reply.Answer);
+    Callers->handleAnswer(reply.Answer);
   else
-    // A lost answer is asked for again only after a change of leader, so it
-    // must not be dropped here; the replier empties the queue all the time.
+    // The answer must not be dropped here, because a lost answer is requested
+    // again only after a change of leader. The reply thread empties the queue
+    // continuously.
     while (!Replies.tryPush(reply) && !Stopping)
       absl::SleepFor(absl::Milliseconds(1));
 }
 
-void EntryService::act(const scheduler::ForgetRun &forget) {
-  // A run that was never recorded may have been refused because another gang
-  // holds its idempotency key: that gang's record is not this one's to write.
-  if (Recorded.erase(forget.Run) == 0)
+void EntryService::perform(const scheduler::ForgetRun &forget) {
+  // A run without a record may have been refused because another gang holds its
+  // idempotency key. The record of that gang must not be overwritten.
+  if (RecordedRuns.erase(forget.Run) == 0)
     return;
   RecordEnd end{LeadingEpoch, forget.Run, std::nullopt, forget.Request.GangId,
                 std::nullopt};
-  auto it = Recent.find(forget.Request.GangId);
-  if (!forget.Request.Job.Idempotent && it != Recent.end() &&
+  auto it = RecentAnswers.find(forget.Request.GangId);
+  if (!forget.Request.Job.Idempotent && it != RecentAnswers.end() &&
       it->second.Result != Outcome::NotRun) {
     end.Job = forget.Request.Job;
     end.Answer = it->second;
   }
-  Records->end(std::move(end));
+  RunRecorder->end(std::move(end));
 }
 
-void EntryService::act(const scheduler::Note &note) {
+void EntryService::perform(const scheduler::Note &note) {
   switch (note.What) {
   case scheduler::Note::Kind::Stopping:
     ++Stopped;
@@ -544,13 +554,14 @@
     auto &channel = channels[reply->Address];
     if (!channel)
       channel = std::make_shared<endpoints::RequestChannel>(reply->Address);
-    bool taken = false;
-    for (int i = 0; i < ReplyAttempts && !taken && !Stopping; ++i)
-      taken = endpoints::RequestChannel::call(channel, reply->Answer,
-                                              EntryCallTimeoutMs)
-                  .has_value();
-    // An entry that stays silent has died, and its callers with it.
-    if (!taken)
+    bool acknowledged = false;
+    for (int i = 0; i < ReplyAttempts && !acknowledged && !Stopping; ++i)
+      acknowledged = endpoints::RequestChannel::call(channel, reply->Answer,
+                                                     EntryCallTimeoutMs)
+                         .has_value();
+    // An entry that does not answer after all attempts has died, and its
+    // callers' connections with it.
+    if (!acknowledged)
       channels.erase(reply->Address);
   }
 }
@@ -569,7 +580,7 @@
   const core::Shape reference{
       1, std::max(ReferenceWidth, Scheduler->widestPending()), 0};
   Fragmentation = placement::fragmentation(state.freeWorkers(), reference);
-  Dispatch->keepOnly(
+  GangDispatcher->retainChannels(
       [&](const std::string &id) { return state.workerKnown(id); });
 }
 
--- a/src/libs/entry/entryservice.h
+++ b/src/libs/entry/entryservice.h
@@ -23,9 +23,9 @@
 
 namespace oriolebay::entry {
 
-/// One entry process. Every entry takes callers and follows the operators'
-/// profiles and the election; the one that leads also schedules. One thread
-/// owns the scheduler; all others reach it through one bounded queue: the
+/// An entry process. Each entry serves callers and follows the operators'
+/// profiles and the election; the leader also schedules. The scheduler is owned
+/// by one thread, and all others reach it through one bounded queue: the
 /// callers' HTTP threads, the reply thread (agents and other entries), the
 /// profile watcher, the election, the recorder and the dispatcher.
 class EntryService {
@@ -34,32 +34,33 @@
                placement::Placer placer);
   ~EntryService();
 
-  /// The nng address agents announce themselves to, and the HTTP port.
+  /// The nng address to which agents send their announcements, and the port for
+  /// callers' HTTP requests.
   std::string agentAddress() const;
   int httpPort() const;
 
-  /// Graceful stop: refuses new jobs (shutting_down, with Retry-After), hands
-  /// the lead to another entry if there is one, waits up to the drain timeout
-  /// for its callers' answers, then stops.
+  /// Stops gracefully: refuses new jobs (shutting_down, with Retry-After),
+  /// resigns as leader if there is another entry, waits up to the drain timeout
+  /// for the answers of its callers, then stops.
   void stop();
 
-  /// Counters for GET /v1/stats and the load tool.
+  /// Counters for GET /v1/stats and for the load tool.
   nlohmann::json stats() const;
 
 private:
-  /// An answer for the entry that holds the caller's connection.
+  /// An answer to send to the entry that holds the caller's connection.
   struct Reply {
     std::string Address;
     endpoints::Answered Answer;
   };
-  /// What reaches the scheduler's thread.
+  /// An input of the scheduler's thread.
   using Input = std::variant<endpoints::Message, core::Profile,
                              platform::Leadership, RecordOutcome, StartOutcome>;
 
   core::JobAnswer submit(const core::JobRequest &job);
   endpoints::Message onMessage(const endpoints::Message &message);
-  void put(const Input &input);
-  void schedule();
+  void enqueue(const Input &input);
+  void runScheduler();
   void handle(const endpoints::Message &message);
   void handle(const core::Profile &profile);
   void handle(const platform::Leadership &leadership);
@@ -67,17 +68,17 @@
   void handle(const StartOutcome &outcome);
   void onSubmit(const endpoints::Submit &submit);
   void onAnnounce(const endpoints::Announce &announce);
-  void lead();
+  void startLeading();
   void stepDown();
-  void carryOut();
+  void performActions();
   void recordStart(const RecordStart &request);
-  void act(const scheduler::StartGang &start);
-  void act(const scheduler::StopGang &stop);
-  void act(const scheduler::AnswerCaller &answer);
-  void act(const scheduler::ForgetRun &forget);
-  void act(const scheduler::Note &note);
+  void perform(const scheduler::StartGang &start);
+  void perform(const scheduler::StopGang &stop);
+  void perform(const scheduler::AnswerCaller &answer);
+  void perform(const scheduler::ForgetRun &forget);
+  void perform(const scheduler::Note &note);
   void sendAnswer(const std::string &gangId, const core::JobAnswer &answer);
-  void remember(const std::string &gangId, const core::JobAnswer &answer);
+  void cacheAnswer(const std::string &gangId, const core::JobAnswer &answer);
   void sendReplies();
   void publishStats();
   scheduler::Policy policy() const;
@@ -92,13 +93,19 @@
   std::map<std::string, core::Profile> Profiles;
   platform::Leadership Leader;
   std::optional<scheduler::GangScheduler> Scheduler;
-  /// Runs whose record is being written, and whether a stop came meanwhile.
-  std::map<scheduler::RunId, std::optional<scheduler::StopGang>> Recording;
+  /// Runs whose record is being written, and the stop that was requested in the
+  /// meantime, if any.
+  std::map<scheduler::RunId, std::optional<scheduler::StopGang>>
+      RunsBeingRecorded;
   /// Runs whose record is in the store.
-  std::set<scheduler::RunId> Recorded;
-  std::map<std::string, std::string> ReplyTo;
-  std::map<std::string, core::JobAnswer> Recent;
-  std::deque<std::string> RecentOrder;
+  std::set<scheduler::RunId> RecordedRuns;
+  /// The address of the entry that waits for the answer of each gang, by gang
+  /// id.
+  std::map<std::string, std::string> ReplyAddresses;
+  /// The latest answers by gang id, for entries that submit a gang again, and
+  /// their gang ids in the order in which they are dropped.
+  std::map<std::string, core::JobAnswer> RecentAnswers;
+  std::deque<std::string> RecentAnswerOrder;
 
   std::atomic<int64_t> LeadingEpoch{0};
   std::atomic<int64_t> ConfigVersion{0};
@@ -112,11 +119,11 @@
   std::atomic<double> Fragmentation{0.0};
 
   std::unique_ptr<Submitter> Callers;
-  std::unique_ptr<Dispatcher> Dispatch;
-  std::unique_ptr<Recorder> Records;
+  std::unique_ptr<Dispatcher> GangDispatcher;
+  std::unique_ptr<Recorder> RunRecorder;
   std::unique_ptr<endpoints::ReplyServer> Server;
   std::thread SchedulerThread;
-  std::thread Replier;
+  std::thread ReplyThread;
   std::unique_ptr<operators::ProfileWatcher> Watcher;
   std::unique_ptr<platform::LeaderElection> Election;
   std::unique_ptr<callers::CallerApi> Api;
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -20,19 +20,23 @@
 namespace {
 
 constexpr int PeerTimeoutMs = 400;
-/// The leader answers a state call within what it waits for the record of an
-/// end. One that did not answer is not asked again for so long.
-constexpr int LeaderAnswerMs = 250;
-constexpr absl::Duration LeaderSilentFor = absl::Seconds(1);
-/// How old an entry's view of the jobs and of the other entries may get, beyond
-/// the watch itself. What callers must not see late, the ends of jobs, is asked
-/// of the leader, and the leader is told of new jobs by the entries that accept
-/// them; its own view is the way back when such a message is lost.
-constexpr absl::Duration ViewRest = absl::Milliseconds(500);
-constexpr absl::Duration LeaderViewRest = absl::Milliseconds(100);
-/// Entries that an agent is told of, beside the leader: enough for some of them
-/// to be up, and few enough for an answer to stay small.
-constexpr size_t EntriesTold = 6;
+/// Time for the leader to answer a state call. It covers the time for which the
+/// leader waits until the end of a job is recorded. A leader that did not
+/// answer is not called again for LeaderRetryDelay.
+constexpr int LeaderAnswerTimeoutMs = 250;
+constexpr absl::Duration LeaderRetryDelay = absl::Seconds(1);
+/// Minimum time between two updates of an entry's view of the jobs and of the
+/// other entries, which adds to the age of that view beyond the delay of the
+/// watch itself. The ends of jobs, which callers must not see late, are
+/// requested from the leader, and entries that accept a new job notify the
+/// leader of it. The leader's own view is the fallback if such a message is
+/// lost.
+constexpr absl::Duration ViewUpdatePause = absl::Milliseconds(500);
+constexpr absl::Duration LeaderViewUpdatePause = absl::Milliseconds(100);
+/// Maximum number of entries that are listed for an agent in addition to the
+/// leader: enough for some of them to be available, and few enough to keep the
+/// answer small.
+constexpr size_t MaxEntriesPerAgent = 6;
 
 } // namespace
 
@@ -62,13 +66,13 @@
       respond(onMessage(m));
   });
   platform::FollowTiming follow;
-  platform::FollowTiming restingFollow;
-  restingFollow.RestAfterNews = [this] {
-    return Leader.Mine ? LeaderViewRest : ViewRest;
+  platform::FollowTiming pacedFollow;
+  pacedFollow.RestAfterNews = [this] {
+    return Leader.Mine ? LeaderViewUpdatePause : ViewUpdatePause;
   };
-  auto trouble = [this](const char *what) {
+  auto storeErrorLogger = [this](const char *what) {
     return [this, what](platform::StoreStatus status, const std::string &why) {
-      storeTrouble(what, status, why);
+      logStoreError(what, status, why);
     };
   };
   Config = std::make_unique<operators::ConfigFollower>(
@@ -80,52 +84,52 @@
         logEvent(Event::ConfigRefused, {{"error", e.text()}});
       },
       [this](const core::ConfigStamp &newer) { onConfigOutdated(newer); },
-      trouble("configuration"));
+      storeErrorLogger("configuration"));
   View = std::make_unique<jobs::JobView>(
-      Loop, Calls, restingFollow,
+      Loop, Calls, pacedFollow,
       [this](const jobs::StoredJob &job) {
-        if (Duty)
-          Duty->onRecord(job);
+        if (Session)
+          Session->onRecord(job);
       },
       [this](const std::string &id) {
-        if (Duty)
-          Duty->onRemoved(id);
-        if (Desk)
-          Desk->forget(id);
+        if (Session)
+          Session->onRemoved(id);
+        if (Service)
+          Service->forget(id);
       },
       [this](const std::string &id) {
-        if (Desk)
-          Desk->onEndRecorded(id);
+        if (Service)
+          Service->onEndRecorded(id);
       },
       [this] { onViewComplete(); },
       [](const std::string &key, const utils::Error &e) {
         logEvent(Event::RecordRefused, {{"key", key}, {"error", e.text()}});
       },
-      trouble("jobs"));
-  jobs::DeskPolicy desk;
-  desk.OldestConfig = Time.OldestConfig;
-  desk.FreshView = Time.FreshConfig;
+      storeErrorLogger("jobs"));
+  jobs::DeskPolicy servicePolicy;
+  servicePolicy.OldestConfig = Time.OldestConfig;
+  servicePolicy.FreshView = Time.FreshConfig;
   Forwarder = std::make_unique<CallForwarder>(
       Loop, Peers, [this] { return otherEntries(); });
-  Desk = std::make_unique<jobs::JobDesk>(
-      Loop, Calls, *View, *Config, desk,
+  Service = std::make_unique<jobs::JobDesk>(
+      Loop, Calls, *View, *Config, servicePolicy,
       [this] { return Health.failingSince(); },
       [this](const jobs::CallRequest &call, const jobs::OnForwarded &done) {
         return forward(call, done);
       },
       [this](const jobs::CallRequest &call, const jobs::OnLeaderAnswer &done) {
-        return askLeader(call, done);
+        return askLeaderForState(call, done);
       },
-      [this](const platform::KeyValue &item) { onWritten(item); },
+      [this](const platform::KeyValue &item) { onJobWritten(item); },
       [this](const jobs::CallDecision &d) {
         logCall(d);
         if (Observers.Called)
           Observers.Called(d);
       });
   Entries = std::make_unique<platform::PrefixFollower>(
-      Loop, Calls, EntryPrefix, restingFollow,
+      Loop, Calls, EntryPrefix, pacedFollow,
       [this](const platform::StoreEvent &event) { onEntry(event); },
-      [](int64_t) {}, trouble("entries"));
+      [](int64_t) {}, storeErrorLogger("entries"));
   platform::ElectionOptions election;
   election.LeaderKey = JobLeaderKey;
   election.EntryPrefix = EntryPrefix;
@@ -139,7 +143,7 @@
   Election = std::make_unique<platform::Election>(
       Loop, Calls, election,
       [this](const platform::Leadership &l) { onLeadership(l); },
-      trouble("election"));
+      storeErrorLogger("election"));
 }
 
 JobEntry::~JobEntry() { *Alive = false; }
@@ -158,7 +162,7 @@
   else if (Config->current() == nullptr)
     reason = "no configuration yet";
   else if (Config->age(Loop.now()) > Time.NotReadyAfter)
-    reason = "the configuration has not been confirmed for too long";
+    reason = "the store has not confirmed the configuration for too long";
   else if (!View->complete())
     reason = "the jobs have not been read yet";
   if (reason != nullptr && why != nullptr)
@@ -173,12 +177,12 @@
     s.ConfigOutdated = Config->outdated();
     s.ConfigAgeSeconds = absl::ToDoubleSeconds(Config->age(Loop.now()));
   }
-  s.Leads = Duty != nullptr && Duty->begun();
+  s.Leads = Session != nullptr && Session->isRunning();
   s.LeaderEpoch = Leader.Epoch;
   s.JobsKnown = View->jobs().size();
   if (s.Leads) {
-    s.ActiveJobs = Duty->scheduler().activeJobs();
-    s.Workers = Duty->scheduler().fleet().workers().size();
+    s.ActiveJobs = Session->scheduler().activeJobs();
+    s.Workers = Session->scheduler().fleet().workers().size();
   }
   return s;
 }
@@ -194,8 +198,8 @@
 void JobEntry::onConfig(const std::shared_ptr<const core::SiteConfig> &config) {
   logEvent(Event::ConfigAccepted,
            {{"version", config->Version}, {"queues", config->Queues.size()}});
-  if (Duty)
-    Duty->onConfig(config);
+  if (Session)
+    Session->onConfig(config);
 }
 
 void JobEntry::onEntry(const platform::StoreEvent &event) {
@@ -219,17 +223,17 @@
 }
 
 void JobEntry::onConfigOutdated(const core::ConfigStamp &newer) {
-  const core::ConfigStamp held = Config->stamp();
+  const core::ConfigStamp ownStamp = Config->stamp();
   logEvent(Event::ConfigOutdated,
-           {{"version", held.Version},
-            {"revision", held.Revision},
+           {{"version", ownStamp.Version},
+            {"revision", ownStamp.Revision},
             {"newer_version", newer.Version},
             {"newer_revision", newer.Revision},
             {"config_age_ms", jobs::shownAgeMs(Config->age(Loop.now()))}});
 }
 
-void JobEntry::storeTrouble(const char *what, platform::StoreStatus status,
-                            const std::string &why) {
+void JobEntry::logStoreError(const char *what, platform::StoreStatus status,
+                             const std::string &why) {
   logEvent(Event::StoreCallFailed,
            {{"what", what},
             {"status", platform::storeStatusName(status)},
@@ -237,14 +241,15 @@
 }
 
 void JobEntry::onLeadership(const platform::Leadership &leadership) {
-  const bool led = Leader.Mine;
+  const bool wasLeader = Leader.Mine;
   Leader = leadership;
-  LeaderSilentUntil = absl::InfinitePast();
-  if (led)
-    logEvent(Event::LeaderLost,
-             {{"epoch", Duty ? Duty->scheduler().epoch() : leadership.Epoch}});
-  Duty.reset();
-  ReadSinceElection = false;
+  LeaderRetryTime = absl::InfinitePast();
+  if (wasLeader)
+    logEvent(
+        Event::LeaderLost,
+        {{"epoch", Session ? Session->scheduler().epoch() : leadership.Epoch}});
+  Session.reset();
+  ViewReadSinceElection = false;
   if (!leadership.Mine) {
     if (leadership.Epoch != 0)
       logEvent(Event::LeaderFollowed,
@@ -271,7 +276,7 @@
   options.Policy.KeepFinished =
       absl::Milliseconds(Settings.Bounds.KeepFinishedMs) * 5 / 4;
   options.Policy.WallMs = [] { return absl::ToUnixMillis(utils::wallNow()); };
-  Duty = std::make_unique<LeaderDuty>(
+  Session = std::make_unique<LeaderDuty>(
       Loop, Calls, Peers, *View, options, leadership.Epoch,
       [this] { return Election->confirmed(); },
       [this](const jobs::Decision &d) {
@@ -280,66 +285,67 @@
           Observers.Decided(d);
       },
       [this](platform::StoreStatus status, const std::string &why) {
-        storeTrouble("recorder", status, why);
+        logStoreError("recorder", status, why);
       },
-      [this](const std::string &jobId) { Desk->expectEnd(jobId); },
+      [this](const std::string &jobId) { Service->expectEnd(jobId); },
       [this](const jobs::ProgressWrite &write, int64_t revision) {
-        // The watch brings the same, but may be silent for seconds while the
-        // store drops its history: the entry that had recorded an end showed
-        // its job as running for so long.
+        // The watch reports the same record, but can be delayed for seconds
+        // while the store drops its history. Until then the entry that has
+        // recorded the end of a job would show the job as running.
         View->learnProgress(write.JobId, write.Progress, revision);
       },
       [this] {
         logEvent(Event::LeaderLost, {{"why", "another entry leads"}});
         Loop.post([this, alive = Alive] {
           if (*alive)
-            Duty.reset();
+            Session.reset();
         });
       });
-  // Only what is read after the election is sure to be all that earlier
-  // leaders wrote.
+  // Only a read after the election is certain to contain everything that
+  // earlier leaders wrote.
   View->readAgain();
-  Duty->enter([this] { beginDuty(); });
+  Session->registerLeader([this] { beginSession(); });
 }
 
-// Once this entry stands among the leaders, the jobs have been read since the
-// election, and there is a configuration to go by.
-void JobEntry::beginDuty() {
-  if (!Duty || Duty->begun() || !Duty->entered() || !ReadSinceElection)
+// Begins the session once this entry is registered in the list of leaders, the
+// jobs have been read since the election, and a configuration is available.
+void JobEntry::beginSession() {
+  if (!Session || Session->isRunning() || !Session->isRegistered() ||
+      !ViewReadSinceElection)
     return;
   if (Config->current() != nullptr) {
-    Duty->begin(Config->current());
+    Session->begin(Config->current());
     return;
   }
   Loop.runAfter(absl::Milliseconds(50), [this, alive = Alive] {
     if (*alive)
-      beginDuty();
+      beginSession();
   });
 }
 
 void JobEntry::onViewComplete() {
-  ReadSinceElection = true;
-  beginDuty();
+  ViewReadSinceElection = true;
+  beginSession();
 }
 
-void JobEntry::onWritten(const platform::KeyValue &item) {
+void JobEntry::onJobWritten(const platform::KeyValue &item) {
   if (Leader.Epoch == 0 || Leader.Mine)
     return;
-  // Without an answer the leader's watch tells it all the same.
+  // If this message is lost, the leader learns of the job from its watch.
   Peers.Call(Leader.Address,
              endpoints::JobWritten{item.Key, item.Value, item.ModRevision},
              PeerTimeoutMs, [](const std::optional<Message> &) {});
 }
 
-// The leader first: if anyone is served by the store, it is.
+// The leader comes first: if the store serves any entry, it serves the leader.
 std::vector<std::string> JobEntry::otherEntries() const {
-  std::vector<std::string> others;
+  std::vector<std::string> otherAddresses;
   if (!Leader.Mine && !Leader.Address.empty())
-    others.push_back(Leader.Address);
+    otherAddresses.push_back(Leader.Address);
   for (const auto &[key, address] : EntryAddresses)
     if (address != Peers.Address && address != Leader.Address)
-      others.push_back(address);
-  return others;
+      otherAddresses.push_back(address);
+  return otherAddresses;
 }
 
 bool JobEntry::forward(const jobs::CallRequest &call,
@@ -355,55 +361,58 @@
       });
 }
 
-bool JobEntry::askLeader(const jobs::CallRequest &call,
-                         const jobs::OnLeaderAnswer &done) {
-  if (Leader.Epoch == 0 || Leader.Mine || Loop.now() < LeaderSilentUntil)
+bool JobEntry::askLeaderForState(const jobs::CallRequest &call,
+                                 const jobs::OnLeaderAnswer &done) {
+  if (Leader.Epoch == 0 || Leader.Mine || Loop.now() < LeaderRetryTime)
     return false;
-  Peers.Call(Leader.Address, jobs::toMessage(call, Loop.now()), LeaderAnswerMs,
-             [this, alive = Alive, done](const std::optional<Message> &reply) {
-               if (!*alive)
-                 return;
-               if (!reply)
-                 LeaderSilentUntil = Loop.now() + LeaderSilentFor;
-               const auto *answer =
-                   reply ? std::get_if<endpoints::ForwardedAnswer>(&*reply)
-                         : nullptr;
-               if (answer != nullptr)
-                 done(jobs::toAnswer(*answer));
-               else
-                 done(std::nullopt);
-             });
+  Peers.Call(
+      Leader.Address, jobs::toMessage(call, Loop.now()), LeaderAnswerTimeoutMs,
+      [this, alive = Alive, done](const std::optional<Message> &reply) {
+        if (!*alive)
+          return;
+        if (!reply)
+          LeaderRetryTime = Loop.now() + LeaderRetryDelay;
+        const auto *answer =
+            reply ? std::get_if<endpoints::ForwardedAnswer>(&*reply) : nullptr;
+        if (answer != nullptr)
+          done(jobs::toAnswer(*answer));
+        else
+          done(std::nullopt);
+      });
   return true;
 }
 
-// Each agent is told of other ones, so that they don't all turn to the same
-// entries when the leader is lost.
+// Each agent gets a different selection of entries, so that not all agents turn
+// to the same entries when the leader is lost.
 std::vector<std::string>
-JobEntry::entriesToldTo(const std::string &agent) const {
-  std::vector<std::string> all;
+JobEntry::entriesForAgent(const std::string &agent) const {
+  std::vector<std::string> addresses;
   for (const auto &[key, address] : EntryAddresses)
-    all.push_back(address);
-  if (all.size() <= EntriesTold)
-    return all;
-  const size_t first = std::hash<std::string>()(agent) % all.size();
-  std::rotate(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(first),
-              all.end());
-  all.resize(EntriesTold);
-  return all;
+    addresses.push_back(address);
+  if (addresses.size() <= MaxEntriesPerAgent)
+    return addresses;
+  const size_t first = std::hash<std::string>()(agent) % addresses.size();
+  std::rotate(addresses.begin(),
+              addresses.begin() + static_cast<std::ptrdiff_t>(first),
+              addresses.end());
+  addresses.resize(MaxEntriesPerAgent);
+  return addresses;
 }
 
-// Served as if its caller had come here, but never handed on again.
+// Serves a forwarded call like a call of this entry's own callers, but never
+// forwards it again.
 void JobEntry::onForwarded(const endpoints::ForwardedCall &call,
                            const endpoints::Peers::Respond &respond) {
   utils::handle<bool>(
       [&]() -> utils::Result<bool> {
         BOOST_LEAF_AUTO(request, jobs::toRequest(call, Loop.now()));
-        Desk->serveForwarded(std::move(request),
-                             [this, respond](const jobs::CallAnswer &answer) {
-                               jobs::CallAnswer ours = answer;
-                               ours.ServedBy = Peers.Address;
-                               respond(jobs::toMessage(ours));
-                             });
+        Service->serveForwarded(
+            std::move(request),
+            [this, respond](const jobs::CallAnswer &answer) {
+              jobs::CallAnswer ownAnswer = answer;
+              ownAnswer.ServedBy = Peers.Address;
+              respond(jobs::toMessage(ownAnswer));
+            });
         return true;
       },
       [&](const utils::Error &e) {
@@ -412,38 +421,40 @@
       });
 }
 
-endpoints::Ack JobEntry::onStandDown(const endpoints::StandDown &down) {
-  if (!Duty)
+endpoints::Ack
+JobEntry::onStepDownRequest(const endpoints::StandDown &stepDown) {
+  if (!Session)
     return {};
-  const int64_t epoch = Duty->scheduler().epoch();
-  if (epoch >= down.Epoch)
+  const int64_t epoch = Session->scheduler().epoch();
+  if (epoch >= stepDown.Epoch)
     return {false, "this entry leads with a higher epoch", epoch};
   logEvent(Event::LeaderLost, {{"epoch", epoch},
-                               {"why", "told to stand down"},
-                               {"by_epoch", down.Epoch}});
-  Duty.reset();
+                               {"why", "received a request to step down"},
+                               {"by_epoch", stepDown.Epoch}});
+  Session.reset();
   return {};
 }
 
 Message JobEntry::onMessage(const Message &message) {
   if (const auto *report = std::get_if<endpoints::WorkerReport>(&message)) {
     endpoints::ReportAck ack;
-    if (Duty)
-      ack = Duty->onReport(*report);
+    if (Session)
+      ack = Session->onReport(*report);
     if (!Leader.Mine) {
       ack.Leader = Leader.Address;
       ack.LeaderEpoch = Leader.Epoch;
     }
-    ack.Entries = entriesToldTo(report->Agent);
+    ack.Entries = entriesForAgent(report->Agent);
     return ack;
   }
   if (const auto *written = std::get_if<endpoints::JobWritten>(&message)) {
     View->learn({written->Key, written->Value, 0, written->Revision, 0});
     return endpoints::Ack{};
   }
-  if (const auto *down = std::get_if<endpoints::StandDown>(&message))
-    return onStandDown(*down);
-  return endpoints::Ack{false, "this entry does not take that message"};
+  if (const auto *stepDown = std::get_if<endpoints::StandDown>(&message))
+    return onStepDownRequest(*stepDown);
+  return endpoints::Ack{false,
+                        "this entry does not handle messages of this type"};
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/jobentry.h
+++ b/src/libs/entry/jobentry.h
@@ -20,30 +20,32 @@
 
 namespace oriolebay::entry {
 
-/// Who counts what an entry does; each may be empty. They run on its loop.
+/// Observers of an entry, for metrics and tests. Each may be empty. They are
+/// called on the entry's event loop.
 struct EntryObservers {
   std::function<void(const jobs::CallDecision &)> Called;
   std::function<void(const jobs::Decision &)> Decided;
   platform::StoreHealth::OnCall StoreCalled;
 };
 
-/// What an entry knows at this moment, for metrics and operators.
+/// The current state of an entry, for metrics and operators.
 struct EntryStatus {
   int64_t ConfigVersion = 0;
   double ConfigAgeSeconds = 0;
-  /// Another entry is known to go by a newer configuration.
+  /// Another entry is known to use a newer configuration.
   bool ConfigOutdated = false;
   bool Leads = false;
   int64_t LeaderEpoch = 0;
   size_t JobsKnown = 0;
-  /// As the leader has them; zero elsewhere.
+  /// Counts of the leader; zero at other entries.
   size_t ActiveJobs = 0;
   size_t Workers = 0;
 };
 
-/// An entry that serves lasting jobs. It keeps a view of configuration and
-/// jobs, serves callers through its desk, takes part in the election, and
-/// does the leader's duty while it leads. Everything runs on one event loop.
+/// An entry that serves lasting jobs. It keeps a view of the configuration and
+/// of the jobs, serves callers through its job service, takes part in the
+/// election, and runs a leader session while it leads. Everything runs on one
+/// event loop.
 class JobEntry {
 public:
   JobEntry(utils::EventLoop &loop, const platform::Store &store,
@@ -56,11 +58,12 @@
   JobEntry &operator=(const JobEntry &) = delete;
 
   void start();
-  jobs::JobDesk &desk() { return *Desk; }
-  /// Whether this entry can serve callers now, with why not.
+  jobs::JobDesk &desk() { return *Service; }
+  /// Whether this entry can serve callers now. If not, the reason is stored in
+  /// why.
   bool ready(std::string *why = nullptr) const;
-  /// Planned stop: not ready from now on, and another entry takes the lead.
-  /// Callers that are being served are still answered.
+  /// Begins a planned stop: the entry is not ready from now on and resigns as
+  /// leader. Callers that are being served still get their answers.
   void beginStop();
 
   int64_t storeCalls() const { return Health.calls(); }
@@ -70,21 +73,21 @@
   endpoints::Message onMessage(const endpoints::Message &message);
   void onLeadership(const platform::Leadership &leadership);
   void onViewComplete();
-  void beginDuty();
-  endpoints::Ack onStandDown(const endpoints::StandDown &down);
-  void onWritten(const platform::KeyValue &item);
+  void beginSession();
+  endpoints::Ack onStepDownRequest(const endpoints::StandDown &stepDown);
+  void onJobWritten(const platform::KeyValue &item);
   std::vector<std::string> otherEntries() const;
-  std::vector<std::string> entriesToldTo(const std::string &agent) const;
-  bool askLeader(const jobs::CallRequest &call,
-                 const jobs::OnLeaderAnswer &done);
+  std::vector<std::string> entriesForAgent(const std::string &agent) const;
+  bool askLeaderForState(const jobs::CallRequest &call,
+                         const jobs::OnLeaderAnswer &done);
   bool forward(const jobs::CallRequest &call, const jobs::OnForwarded &done);
   void onForwarded(const endpoints::ForwardedCall &call,
                    const endpoints::Peers::Respond &respond);
   void onConfig(const std::shared_ptr<const core::SiteConfig> &config);
   void onConfigOutdated(const core::ConfigStamp &newer);
   void onEntry(const platform::StoreEvent &event);
-  void storeTrouble(const char *what, platform::StoreStatus status,
-                    const std::string &why);
+  void logStoreError(const char *what, platform::StoreStatus status,
+                     const std::string &why);
 
   utils::EventLoop &Loop;
   const endpoints::Peers Peers;
@@ -95,24 +98,29 @@
   platform::StoreHealth Health;
   const platform::Store Calls;
   platform::Leadership Leader;
-  absl::Time LeaderSilentUntil = absl::InfinitePast();
+  /// After a call without an answer, the leader is not called again before this
+  /// time.
+  absl::Time LeaderRetryTime = absl::InfinitePast();
   bool Stopping = false;
-  /// Addresses of the entries that are registered, by their keys.
+  /// Addresses of the registered entries, by their keys.
   std::map<std::string, std::string> EntryAddresses;
-  /// The largest that any entry was seen with. It outlasts its registration:
-  /// all lapse at once in an outage.
+  /// The largest processor share with which any entry has registered. It is
+  /// kept when the registration is removed, because all registrations expire
+  /// together in an outage of the store.
   double LargestProcessorShare = 0;
   std::unique_ptr<operators::ConfigFollower> Config;
   std::unique_ptr<jobs::JobView> View;
   std::unique_ptr<CallForwarder> Forwarder;
-  std::unique_ptr<jobs::JobDesk> Desk;
+  std::unique_ptr<jobs::JobDesk> Service;
   std::unique_ptr<platform::PrefixFollower> Entries;
   std::unique_ptr<platform::Election> Election;
-  std::unique_ptr<LeaderDuty> Duty;
-  bool ReadSinceElection = false;
+  std::unique_ptr<LeaderDuty> Session;
+  /// The view has been read completely since the election.
+  bool ViewReadSinceElection = false;
 };
 
-/// The store's keys of the entries.
+/// Keys in the store: the prefix of the registered entries, and the key of the
+/// leader.
 extern const char *const EntryPrefix;
 extern const char *const JobLeaderKey;
 
--- a/src/libs/entry/leaderduty.cpp
+++ b/src/libs/entry/leaderduty.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// A job's progress takes two conditions and one write; the leader's key is
-/// one condition more.
+/// The progress of a job needs two conditions and one write in a transaction.
+/// The leader's key is one more condition.
 constexpr size_t EntriesPerJob = 3;
 constexpr size_t JobsPerTxn = (platform::MaxTxnEntries - 1) / EntriesPerJob;
 
@@ -30,36 +30,40 @@
 
 LeaderDuty::LeaderDuty(utils::EventLoop &loop, const platform::Store &store,
                        const endpoints::Peers &peers, const jobs::JobView &view,
-                       DutyOptions options, int64_t epoch, Confirmed confirmed,
-                       OnDecision onDecision, OnTrouble onTrouble,
-                       OnEnding onEnding, OnRecorded onRecorded,
-                       OnDeposed onDeposed)
+                       DutyOptions options, int64_t epoch,
+                       ConfirmationTime confirmed, OnDecision onDecision,
+                       OnStoreError onStoreError, OnEnding onEnding,
+                       OnRecorded onRecorded, OnLeadershipLost onLeadershipLost)
     : Loop(loop), Calls(store), Peers(peers), View(view),
       Options(std::move(options)), Epoch(epoch),
-      LastConfirmed(std::move(confirmed)), Decided(std::move(onDecision)),
-      Trouble(std::move(onTrouble)), Ending(std::move(onEnding)),
-      Recorded(std::move(onRecorded)), Deposed(std::move(onDeposed)),
+      LastConfirmed(std::move(confirmed)),
+      ReportDecision(std::move(onDecision)),
+      ReportStoreError(std::move(onStoreError)),
+      ReportEnding(std::move(onEnding)), ReportRecorded(std::move(onRecorded)),
+      ReportLeadershipLost(std::move(onLeadershipLost)),
       Scheduler(Options.Policy, epoch, loop.now()) {}
 
 LeaderDuty::~LeaderDuty() { *Alive = false; }
 
-void LeaderDuty::enter(std::function<void()> entered) {
+void LeaderDuty::registerLeader(std::function<void()> onRegistered) {
   Predecessors::Options options;
   options.LeaderKey = Options.LeaderKey;
-  options.Mine = {Epoch, Options.Address};
-  options.AllOverAfter = Options.Policy.UnheardLostAfter;
-  Earlier = std::make_unique<Predecessors>(
+  options.OwnTerm = {Epoch, Options.Address};
+  options.TimeLimit = Options.Policy.UnheardLostAfter;
+  Previous = std::make_unique<Predecessors>(
       Loop, Calls, Peers, options,
-      [this, entered = std::move(entered)] {
-        Entered = true;
-        entered();
+      [this, onRegistered = std::move(onRegistered)] {
+        Registered = true;
+        onRegistered();
       },
-      [this](absl::Time gone) { Scheduler.onPredecessorsGone(gone); });
-  Earlier->start();
+      [this](absl::Time goneSince) {
+        Scheduler.onPredecessorsGone(goneSince);
+      });
+  Previous->start();
 }
 
 void LeaderDuty::begin(const std::shared_ptr<const core::SiteConfig> &config) {
-  Begun = true;
+  Running = true;
   const absl::Time now = Loop.now();
   Scheduler.onConfig(config);
   for (const auto &[id, job] : View.jobs()) {
@@ -69,72 +73,74 @@
     if (job.ProgressRevision > 0)
       Scheduler.onProgress(id, job.Progress, job.ProgressRevision, now);
   }
-  tickLater();
-  pumpSoon();
+  scheduleTick();
+  postPass();
 }
 
 void LeaderDuty::onConfig(
     const std::shared_ptr<const core::SiteConfig> &config) {
-  if (!Begun)
+  if (!Running)
     return;
   Scheduler.onConfig(config);
-  pumpSoon();
+  postPass();
 }
 
 void LeaderDuty::onRecord(const jobs::StoredJob &job) {
-  if (!Begun)
+  if (!Running)
     return;
   Scheduler.onRecord(job.Record, job.RecordRevision, Loop.now());
-  pumpSoon();
+  postPass();
 }
 
 void LeaderDuty::onRemoved(const std::string &jobId) {
-  if (Begun)
+  if (Running)
     Scheduler.onRecordRemoved(jobId);
 }
 
 endpoints::ReportAck
 LeaderDuty::onReport(const endpoints::WorkerReport &report) {
   endpoints::ReportAck ack;
-  if (!Begun)
+  if (!Running)
     return ack;
   const absl::Time now = Loop.now();
   ack.Epoch = Epoch;
   ack.SeenUpto = Scheduler.onReport(report, now);
   ack.Speed = Scheduler.speedOf(report.Agent);
-  // Without the store this entry may have been replaced: it goes on for a
-  // bounded time, which a new leader waits for workers that it cannot reach.
+  // Without the store this entry may have been replaced. It continues for a
+  // limited time; a new leader waits for that time for workers that it cannot
+  // reach.
   const absl::Duration unconfirmed = now - LastConfirmed();
   ack.Doubtful = unconfirmed > Options.DoubtfulAfter;
   if (report.Reachable && unconfirmed < Options.GrantWithoutStore)
     ack.GrantMs = absl::ToInt64Milliseconds(Options.Grant);
-  pumpSoon();
+  postPass();
   return ack;
 }
 
-void LeaderDuty::tickLater() {
+void LeaderDuty::scheduleTick() {
   Loop.runAfter(Options.TickEvery, [this, alive = Alive] {
     if (!*alive)
       return;
     Scheduler.tick(Loop.now());
-    removeExpired();
-    pump();
-    tickLater();
+    removeExpiredJobs();
+    runPass();
+    scheduleTick();
   });
 }
 
-// Facts that come together are decided on together.
-void LeaderDuty::pumpSoon() {
-  if (PumpQueued)
+// Posts one pass for all inputs that arrive before it runs, so that they are
+// covered by one decision.
+void LeaderDuty::postPass() {
+  if (PassPosted)
     return;
-  PumpQueued = true;
+  PassPosted = true;
   Loop.post([this, alive = Alive] {
     if (*alive)
-      pump();
+      runPass();
   });
 }
 
-void LeaderDuty::decide() {
+void LeaderDuty::decideIfDue() {
   const absl::Time began = Loop.now();
   if (!Pacer.due(began))
     return;
@@ -142,45 +148,48 @@
   Pacer.decided(began, Loop.now());
 }
 
-void LeaderDuty::pump() {
-  PumpQueued = false;
-  decide();
+// Decides if a decision is due, and passes on what the scheduler produced.
+void LeaderDuty::runPass() {
+  PassPosted = false;
+  decideIfDue();
   writeProgress();
   sendOrders();
   for (const std::string &id : Scheduler.takeEnding())
-    Ending(id);
+    ReportEnding(id);
   for (const jobs::Decision &decision : Scheduler.takeDecisions())
-    Decided(decision);
+    ReportDecision(decision);
 }
 
 void LeaderDuty::sendOrders() {
-  // Orders without an answer are sent again by the scheduler's timers.
+  // The scheduler sends orders again that were not answered in time.
   for (const auto &[address, orders] : Scheduler.takeOrders())
     Peers.Call(address, orders, Options.AgentTimeoutMs,
                [](const std::optional<endpoints::Message> &) {});
 }
 
 void LeaderDuty::writeProgress() {
-  if (Loop.now() < WritesHeldUntil)
+  if (Loop.now() < WritesPausedUntil)
     return;
   std::vector<ProgressWrite> batch;
-  for (ProgressWrite &one : Scheduler.takeWrites()) {
-    batch.push_back(std::move(one));
+  for (ProgressWrite &progressWrite : Scheduler.takeWrites()) {
+    batch.push_back(std::move(progressWrite));
     if (batch.size() == JobsPerTxn)
-      write(std::exchange(batch, {}));
+      writeBatch(std::exchange(batch, {}));
   }
   if (!batch.empty())
-    write(std::move(batch));
+    writeBatch(std::move(batch));
 }
 
-void LeaderDuty::write(std::vector<ProgressWrite> batch) {
+void LeaderDuty::writeBatch(std::vector<ProgressWrite> batch) {
   platform::StoreTxn txn;
   txn.Expected.push_back({Options.LeaderKey, Epoch});
-  for (const ProgressWrite &one : batch) {
-    txn.Expected.push_back({jobs::specKey(one.JobId), one.RecordRevision});
+  for (const ProgressWrite &progressWrite : batch) {
     txn.Expected.push_back(
-        {jobs::progressKey(one.JobId), one.ProgressRevision});
-    txn.Puts.push_back({jobs::progressKey(one.JobId), one.Value, 0});
+        {jobs::specKey(progressWrite.JobId), progressWrite.RecordRevision});
+    txn.Expected.push_back({jobs::progressKey(progressWrite.JobId),
+                            progressWrite.ProgressRevision});
+    txn.Puts.push_back(
+        {jobs::progressKey(progressWrite.JobId), progressWrite.Value, 0});
   }
   Calls.Transact(std::move(txn),
                  [this, alive = Alive, batch = std::move(batch)](
@@ -192,20 +201,21 @@
                    } else if (reply.Status == StoreStatus::Conflict) {
                      onConflict(batch, reply.Value.Current);
                    } else {
-                     Trouble(reply.Status, reply.Why);
-                     WritesHeldUntil = Loop.now() + Options.WriteRetry;
-                     for (const ProgressWrite &one : batch)
-                       Scheduler.onNotWritten(one.JobId);
+                     ReportStoreError(reply.Status, reply.Why);
+                     WritesPausedUntil = Loop.now() + Options.WriteRetryDelay;
+                     for (const ProgressWrite &progressWrite : batch)
+                       Scheduler.onNotWritten(progressWrite.JobId);
                    }
-                   pumpSoon();
+                   postPass();
                  });
 }
 
 void LeaderDuty::onWritten(const std::vector<ProgressWrite> &batch,
                            int64_t revision) {
-  for (const ProgressWrite &one : batch) {
-    Scheduler.onWritten(one.JobId, one.Progress.Version, revision, Loop.now());
-    Recorded(one, revision);
+  for (const ProgressWrite &progressWrite : batch) {
+    Scheduler.onWritten(progressWrite.JobId, progressWrite.Progress.Version,
+                        revision, Loop.now());
+    ReportRecorded(progressWrite, revision);
   }
 }
 
@@ -213,48 +223,51 @@
                             const std::vector<KeyValue> &current) {
   const KeyValue *leader = findItem(current, Options.LeaderKey);
   if (leader == nullptr || leader->ModRevision != Epoch) {
-    Deposed();
+    ReportLeadershipLost();
     return;
   }
-  for (const ProgressWrite &one : batch)
-    settleConflict(one, current);
+  for (const ProgressWrite &progressWrite : batch)
+    resolveConflict(progressWrite, current);
 }
 
-// One of the batch's jobs was cancelled, or its earlier write was made after
-// all although its answer was lost. The others are simply written again.
-void LeaderDuty::settleConflict(const ProgressWrite &one,
-                                const std::vector<KeyValue> &current) {
-  const KeyValue *spec = findItem(current, jobs::specKey(one.JobId));
-  const KeyValue *progress = findItem(current, jobs::progressKey(one.JobId));
+// Resolves the conflict for one job of a batch: it was cancelled, or its
+// earlier write took effect although the answer was lost. The other jobs of the
+// batch are written again.
+void LeaderDuty::resolveConflict(const ProgressWrite &progressWrite,
+                                 const std::vector<KeyValue> &current) {
+  const KeyValue *spec = findItem(current, jobs::specKey(progressWrite.JobId));
+  const KeyValue *progress =
+      findItem(current, jobs::progressKey(progressWrite.JobId));
   if (spec == nullptr) {
-    Scheduler.onRecordRemoved(one.JobId);
+    Scheduler.onRecordRemoved(progressWrite.JobId);
     return;
   }
   utils::handle<bool>(
       [&]() -> utils::Result<bool> {
         if (progress != nullptr &&
-            progress->ModRevision != one.ProgressRevision) {
+            progress->ModRevision != progressWrite.ProgressRevision) {
           BOOST_LEAF_AUTO(read, jobs::decodeProgress(progress->Value));
-          Scheduler.onWritten(one.JobId, read.Version, progress->ModRevision,
-                              Loop.now());
+          Scheduler.onWritten(progressWrite.JobId, read.Version,
+                              progress->ModRevision, Loop.now());
         }
-        Scheduler.onNotWritten(one.JobId);
-        if (spec->ModRevision != one.RecordRevision) {
+        Scheduler.onNotWritten(progressWrite.JobId);
+        if (spec->ModRevision != progressWrite.RecordRevision) {
           BOOST_LEAF_AUTO(record, jobs::decodeRecord(spec->Value));
           Scheduler.onRecord(record, spec->ModRevision, Loop.now());
         }
         return true;
       },
       [&](const utils::Error &e) {
-        Trouble(StoreStatus::Conflict, e.text());
-        Scheduler.onNotWritten(one.JobId);
+        ReportStoreError(StoreStatus::Conflict, e.text());
+        Scheduler.onNotWritten(progressWrite.JobId);
         return false;
       });
 }
 
-// Finished jobs leave the store once callers have had time to ask.
-void LeaderDuty::removeExpired() {
-  if (Removing)
+// Removes finished jobs from the store after callers have had time to read
+// their result.
+void LeaderDuty::removeExpiredJobs() {
+  if (RemovalPending)
     return;
   std::vector<std::string> expired = Scheduler.takeExpired(Loop.now());
   if (expired.empty())
@@ -266,14 +279,14 @@
     txn.Removes.push_back(jobs::specKey(id));
     txn.Removes.push_back(jobs::progressKey(id));
   }
-  Removing = true;
+  RemovalPending = true;
   Calls.Transact(std::move(txn), [this, alive = Alive, expired](
                                      const StoreReply<StoreTxnReply> &reply) {
     if (!*alive)
       return;
-    Removing = false;
+    RemovalPending = false;
     if (!reply.ok()) {
-      Trouble(reply.Status, reply.Why);
+      ReportStoreError(reply.Status, reply.Why);
       return;
     }
     for (const std::string &id : expired)
--- a/src/libs/entry/leaderduty.h
+++ b/src/libs/entry/leaderduty.h
@@ -21,83 +21,90 @@
 
 namespace oriolebay::entry {
 
-/// How the leading entry keeps time.
+/// Settings of a LeaderDuty.
 struct DutyOptions {
   std::string LeaderKey;
-  /// Where others reach this entry.
+  /// The address at which other entries reach this one.
   std::string Address;
   jobs::SchedulerPolicy Policy;
-  /// What a report's answer lets its agent keep tasks alive for.
+  /// The grant: time for which the answer to a report lets the agent keep its
+  /// tasks alive.
   absl::Duration Grant = absl::Milliseconds(5500);
-  /// For how long the leader goes on granting without the store.
+  /// Maximum time without confirmation from the store during which the leader
+  /// continues to grant.
   absl::Duration GrantWithoutStore = absl::Seconds(12);
-  /// Unconfirmed for so long, another entry may have taken the lead.
+  /// Time without confirmation from the store after which another entry may
+  /// have become leader.
   absl::Duration DoubtfulAfter = absl::Seconds(2);
   absl::Duration TickEvery = absl::Milliseconds(200);
-  /// A quarter of the time at most goes to decisions: see DecisionPacer.
-  int RestAfterDeciding = 3;
-  absl::Duration WriteRetry = absl::Milliseconds(100);
+  /// Factor of the DecisionPacer: at most a quarter of the time is spent on
+  /// decisions.
+  int DecisionRestFactor = 3;
+  /// Pause of writes after a failed one.
+  absl::Duration WriteRetryDelay = absl::Milliseconds(100);
   int AgentTimeoutMs = 400;
 };
 
-/// What an entry does while it leads: it feeds the scheduler, records its
-/// progress and sends its orders. Lives from the election to the loss of the
-/// lead; nothing of it is kept.
+/// The work of an entry while it is the leader: passes inputs to the scheduler,
+/// records the progress of jobs and sends orders to agents. Exists from the
+/// election to the loss of leadership; none of its state is kept after that.
 class LeaderDuty {
 public:
   using OnDecision = std::function<void(const jobs::Decision &)>;
-  using OnTrouble =
+  using OnStoreError =
       std::function<void(platform::StoreStatus, const std::string &why)>;
   /// The store refused a write because another entry leads.
-  using OnDeposed = std::function<void()>;
-  /// A job has ended; it is shown once that is recorded.
+  using OnLeadershipLost = std::function<void()>;
+  /// A job has ended. Callers see the end once it is recorded.
   using OnEnding = std::function<void(const std::string &jobId)>;
-  /// A job's progress was recorded at revision.
+  /// The progress of a job was recorded at the given revision of the store.
   using OnRecorded =
       std::function<void(const jobs::ProgressWrite &, int64_t revision)>;
-  /// When the store last confirmed that this entry leads.
-  using Confirmed = std::function<absl::Time()>;
+  /// Returns when the store last confirmed that this entry leads.
+  using ConfirmationTime = std::function<absl::Time()>;
 
   LeaderDuty(utils::EventLoop &loop, const platform::Store &store,
              const endpoints::Peers &peers, const jobs::JobView &view,
-             DutyOptions options, int64_t epoch, Confirmed confirmed,
-             OnDecision onDecision, OnTrouble onTrouble, OnEnding onEnding,
-             OnRecorded onRecorded, OnDeposed onDeposed);
+             DutyOptions options, int64_t epoch, ConfirmationTime confirmed,
+             OnDecision onDecision, OnStoreError onStoreError,
+             OnEnding onEnding, OnRecorded onRecorded,
+             OnLeadershipLost onLeadershipLost);
   ~LeaderDuty();
   LeaderDuty(const LeaderDuty &) = delete;
   LeaderDuty &operator=(const LeaderDuty &) = delete;
 
-  /// Enters this entry among the leaders; entered is called once that is done,
-  /// and begin() may follow.
-  void enter(std::function<void()> entered);
-  bool entered() const { return Entered; }
-  /// The view has just been read whole: takes over all jobs and begins.
+  /// Registers this entry in the list of leaders. Calls onRegistered when that
+  /// is done; begin() can be called from then on.
+  void registerLeader(std::function<void()> onRegistered);
+  bool isRegistered() const { return Registered; }
+  /// Takes over all jobs and starts scheduling. The view must have been read
+  /// completely since the election.
   void begin(const std::shared_ptr<const core::SiteConfig> &config);
-  bool begun() const { return Begun; }
+  bool isRunning() const { return Running; }
 
   void onConfig(const std::shared_ptr<const core::SiteConfig> &config);
   void onRecord(const jobs::StoredJob &job);
   void onRemoved(const std::string &jobId);
-  /// The answer for the agent.
+  /// Handles an agent's report and returns the answer for it.
   endpoints::ReportAck onReport(const endpoints::WorkerReport &report);
 
   const jobs::JobScheduler &scheduler() const { return Scheduler; }
 
 private:
-  void pumpSoon();
-  void pump();
-  void decide();
-  void tickLater();
+  void postPass();
+  void runPass();
+  void decideIfDue();
+  void scheduleTick();
   void sendOrders();
   void writeProgress();
-  void write(std::vector<jobs::ProgressWrite> batch);
+  void writeBatch(std::vector<jobs::ProgressWrite> batch);
   void onWritten(const std::vector<jobs::ProgressWrite> &batch,
                  int64_t revision);
   void onConflict(const std::vector<jobs::ProgressWrite> &batch,
                   const std::vector<platform::KeyValue> &current);
-  void settleConflict(const jobs::ProgressWrite &write,
-                      const std::vector<platform::KeyValue> &current);
-  void removeExpired();
+  void resolveConflict(const jobs::ProgressWrite &progressWrite,
+                       const std::vector<platform::KeyValue> &current);
+  void removeExpiredJobs();
 
   utils::EventLoop &Loop;
   const platform::Store &Calls;
@@ -105,22 +112,22 @@
   const jobs::JobView &View;
   const DutyOptions Options;
   const int64_t Epoch;
-  const Confirmed LastConfirmed;
-  const OnDecision Decided;
-  const OnTrouble Trouble;
-  const OnEnding Ending;
-  const OnRecorded Recorded;
-  const OnDeposed Deposed;
+  const ConfirmationTime LastConfirmed;
+  const OnDecision ReportDecision;
+  const OnStoreError ReportStoreError;
+  const OnEnding ReportEnding;
+  const OnRecorded ReportRecorded;
+  const OnLeadershipLost ReportLeadershipLost;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   jobs::JobScheduler Scheduler;
-  std::unique_ptr<Predecessors> Earlier;
-  bool Entered = false;
-  bool Begun = false;
-  bool PumpQueued = false;
-  DecisionPacer Pacer{Options.RestAfterDeciding};
-  bool Removing = false;
-  /// After a write that failed no other is tried until then.
-  absl::Time WritesHeldUntil = absl::InfinitePast();
+  std::unique_ptr<Predecessors> Previous;
+  bool Registered = false;
+  bool Running = false;
+  bool PassPosted = false;
+  DecisionPacer Pacer{Options.DecisionRestFactor};
+  bool RemovalPending = false;
+  /// After a failed write no other is attempted before this time.
+  absl::Time WritesPausedUntil = absl::InfinitePast();
 };
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/predecessors.cpp
+++ b/src/libs/entry/predecessors.cpp
@@ -13,16 +13,17 @@
 
 namespace {
 
-std::string encode(const std::vector<Reign> &reigns) {
+std::string encode(const std::vector<Reign> &terms) {
   json list = json::array();
-  for (const Reign &r : reigns)
+  for (const Reign &r : terms)
     list.push_back({r.Epoch, r.Address});
   return list.dump();
 }
 
-// An unreadable list counts as empty only after its reader has said so: the
-// caller then waits for the longest that a leader may go on.
-bool decode(const std::string &value, std::vector<Reign> &reigns) {
+// Returns false if the list is unreadable. It must not count as empty then,
+// since the leaders in it may still keep tasks alive for the longest time that
+// a leader can continue. The caller reads it again later.
+bool decode(const std::string &value, std::vector<Reign> &terms) {
   const json list = json::parse(value, nullptr, false);
   if (!list.is_array())
     return false;
@@ -30,7 +31,7 @@
     if (!r.is_array() || r.size() != 2 || !r[0].is_number_integer() ||
         !r[1].is_string())
       return false;
-    reigns.push_back({r[0].get<int64_t>(), r[1].get<std::string>()});
+    terms.push_back({r[0].get<int64_t>(), r[1].get<std::string>()});
   }
   return true;
 }
@@ -39,21 +40,22 @@
 
 Predecessors::Predecessors(utils::EventLoop &loop, const platform::Store &store,
                            const endpoints::Peers &peers, Options options,
-                           OnEntered onEntered, OnGone onGone)
-    : Loop(loop), Calls(store), Peers(peers), Setup(std::move(options)),
-      Entered(std::move(onEntered)), Gone(std::move(onGone)) {}
+                           OnRegistered onRegistered, OnAllGone onAllGone)
+    : Loop(loop), Calls(store), Peers(peers), Params(std::move(options)),
+      ReportRegistered(std::move(onRegistered)),
+      ReportAllGone(std::move(onAllGone)) {}
 
 Predecessors::~Predecessors() { *Alive = false; }
 
-void Predecessors::readLater() {
-  Loop.runAfter(Setup.AskAgain, [this, alive = Alive] {
+void Predecessors::scheduleRead() {
+  Loop.runAfter(Params.RetryDelay, [this, alive = Alive] {
     if (*alive)
       read();
   });
 }
 
 void Predecessors::read() {
-  Calls.Get(Setup.Key,
+  Calls.Get(Params.Key,
             [this, alive = Alive](
                 const platform::StoreReply<platform::KeyValue> &reply) {
               if (*alive)
@@ -64,127 +66,131 @@
 void Predecessors::onRead(
     const platform::StoreReply<platform::KeyValue> &reply) {
   if (reply.Status == StoreStatus::NotFound) {
-    enter({}, 0);
+    registerTerm({}, 0);
     return;
   }
-  std::vector<Reign> earlier;
-  if (!reply.ok() || !decode(reply.Value.Value, earlier)) {
-    readLater();
+  std::vector<Reign> previousTerms;
+  if (!reply.ok() || !decode(reply.Value.Value, previousTerms)) {
+    scheduleRead();
     return;
   }
-  const auto mine = std::find(earlier.begin(), earlier.end(), Setup.Mine);
-  const bool entered = mine != earlier.end();
-  if (entered)
-    earlier.erase(mine);
-  if (!entered) {
-    enter(std::move(earlier), reply.Value.ModRevision);
+  const auto ownTerm =
+      std::find(previousTerms.begin(), previousTerms.end(), Params.OwnTerm);
+  const bool isRegistered = ownTerm != previousTerms.end();
+  if (isRegistered)
+    previousTerms.erase(ownTerm);
+  if (!isRegistered) {
+    registerTerm(std::move(previousTerms), reply.Value.ModRevision);
     return;
   }
-  // The answer to this entry's own write had been lost.
-  Earlier = std::move(earlier);
+  // This entry is registered already: the answer to its own write was lost.
+  PreviousTerms = std::move(previousTerms);
   Revision = reply.Value.ModRevision;
-  askAll();
+  requestAllStepDowns();
 }
 
-void Predecessors::enter(std::vector<Reign> earlier, int64_t revision) {
-  std::vector<Reign> all = earlier;
-  all.push_back(Setup.Mine);
+void Predecessors::registerTerm(std::vector<Reign> previousTerms,
+                                int64_t revision) {
+  std::vector<Reign> all = previousTerms;
+  all.push_back(Params.OwnTerm);
   platform::StoreTxn txn;
-  txn.Expected.push_back({Setup.LeaderKey, Setup.Mine.Epoch});
-  txn.Expected.push_back({Setup.Key, revision});
-  txn.Puts.push_back({Setup.Key, encode(all), 0});
+  txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
+  txn.Expected.push_back({Params.Key, revision});
+  txn.Puts.push_back({Params.Key, encode(all), 0});
   Calls.Transact(
       std::move(txn),
-      [this, alive = Alive, earlier = std::move(earlier)](
+      [this, alive = Alive, previousTerms = std::move(previousTerms)](
           const platform::StoreReply<platform::StoreTxnReply> &reply) {
         if (!*alive)
           return;
         if (!reply.ok()) {
-          readLater();
+          scheduleRead();
           return;
         }
-        Earlier = earlier;
+        PreviousTerms = previousTerms;
         Revision = reply.Value.Revision;
-        askAll();
+        requestAllStepDowns();
       });
 }
 
-void Predecessors::askAll() {
-  Entered();
-  if (Earlier.empty()) {
-    Gone(Loop.now());
+void Predecessors::requestAllStepDowns() {
+  ReportRegistered();
+  if (PreviousTerms.empty()) {
+    ReportAllGone(Loop.now());
     return;
   }
-  Loop.runAfter(Setup.AllOverAfter, [this, alive = Alive] {
+  Loop.runAfter(Params.TimeLimit, [this, alive = Alive] {
     if (*alive)
-      allOver();
+      onTimeLimit();
   });
-  for (const Reign &reign : std::vector<Reign>(Earlier))
-    ask(reign);
+  for (const Reign &term : std::vector<Reign>(PreviousTerms))
+    requestStepDown(term);
 }
 
-void Predecessors::ask(const Reign &reign) {
-  // This process has given up its earlier reigns by itself.
-  if (reign.Address == Setup.Mine.Address) {
-    stoodDown(reign);
+void Predecessors::requestStepDown(const Reign &term) {
+  // This process has ended its own earlier terms already.
+  if (term.Address == Params.OwnTerm.Address) {
+    onSteppedDown(term);
     return;
   }
-  Peers.Call(reign.Address, endpoints::StandDown{Setup.Mine.Epoch},
-             Setup.PeerTimeoutMs,
+  Peers.Call(term.Address, endpoints::StandDown{Params.OwnTerm.Epoch},
+             Params.PeerTimeoutMs,
              [this, alive = Alive,
-              reign](const std::optional<endpoints::Message> &reply) {
+              term](const std::optional<endpoints::Message> &reply) {
                if (!*alive)
                  return;
                const auto *ack =
                    reply ? std::get_if<endpoints::Ack>(&*reply) : nullptr;
                if (ack != nullptr && ack->Ok) {
-                 stoodDown(reign);
+                 onSteppedDown(term);
                  return;
                }
-               Loop.runAfter(Setup.AskAgain, [this, alive, reign] {
-                 if (*alive && !Earlier.empty())
-                   ask(reign);
+               Loop.runAfter(Params.RetryDelay, [this, alive, term] {
+                 if (*alive && !PreviousTerms.empty())
+                   requestStepDown(term);
                });
              });
 }
 
-void Predecessors::stoodDown(const Reign &reign) {
-  if (Earlier.empty())
+void Predecessors::onSteppedDown(const Reign &term) {
+  if (PreviousTerms.empty())
     return;
-  Earlier.erase(std::remove(Earlier.begin(), Earlier.end(), reign),
-                Earlier.end());
-  if (Earlier.empty())
-    noneLeft();
+  PreviousTerms.erase(
+      std::remove(PreviousTerms.begin(), PreviousTerms.end(), term),
+      PreviousTerms.end());
+  if (PreviousTerms.empty())
+    onNoneLeft();
 }
 
-// Counted from when this leader entered itself, which is after its election.
-void Predecessors::allOver() {
-  if (Earlier.empty())
+// The time limit is counted from this leader's registration, which is later
+// than its election.
+void Predecessors::onTimeLimit() {
+  if (PreviousTerms.empty())
     return;
-  Earlier.clear();
-  noneLeft();
+  PreviousTerms.clear();
+  onNoneLeft();
 }
 
-void Predecessors::noneLeft() {
-  Gone(Loop.now());
-  forgetAll();
+void Predecessors::onNoneLeft() {
+  ReportAllGone(Loop.now());
+  removePreviousTerms();
 }
 
-void Predecessors::forgetAll() {
+void Predecessors::removePreviousTerms() {
   platform::StoreTxn txn;
-  txn.Expected.push_back({Setup.LeaderKey, Setup.Mine.Epoch});
-  txn.Expected.push_back({Setup.Key, Revision});
-  txn.Puts.push_back({Setup.Key, encode({Setup.Mine}), 0});
-  // A conflict means that another has written the list since, or that this very
-  // write was made and its answer lost.
+  txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
+  txn.Expected.push_back({Params.Key, Revision});
+  txn.Puts.push_back({Params.Key, encode({Params.OwnTerm}), 0});
+  // A conflict means that another entry has written the list since, or that
+  // this write took effect and its answer was lost.
   Calls.Transact(std::move(txn),
                  [this, alive = Alive](
                      const platform::StoreReply<platform::StoreTxnReply> &r) {
                    if (!*alive || r.ok() || r.Status == StoreStatus::Conflict)
                      return;
-                   Loop.runAfter(Setup.AskAgain, [this, alive] {
+                   Loop.runAfter(Params.RetryDelay, [this, alive] {
                      if (*alive)
-                       forgetAll();
+                       removePreviousTerms();
                    });
                  });
 }
--- a/src/libs/entry/predecessors.h
+++ b/src/libs/entry/predecessors.h
@@ -18,42 +18,43 @@
 
 namespace oriolebay::entry {
 
-/// One time that an entry led, or may still believe that it leads.
+/// A term of an entry as leader; the entry may still believe that it leads.
 struct Reign {
   int64_t Epoch = 0;
   std::string Address;
   auto operator<=>(const Reign &) const = default;
 };
 
-/// The earlier leaders that may still keep tasks alive at agents which the new
-/// one cannot reach. A new leader would have to wait for the longest that any
-/// of them may go on without the store; but one that answers that it has stood
-/// down, or whose process has been started anew, has stopped already. The list
-/// lies in the store and each leader enters itself before it does anything, so
-/// that none is forgotten. One whose time is over leaves the list unasked: its
-/// machine may never answer again, and every later leader would wait for it
-/// anew (18 s each, for a task on a machine that is gone as well). Owned by one
-/// event loop.
+/// The previous leaders that may still keep tasks alive on agents which the new
+/// leader cannot reach. Without this list, a new leader would have to wait for
+/// the longest time that any previous leader can continue without the store. A
+/// previous leader that confirms that it has stepped down, or whose process has
+/// been restarted, has stopped already. The list is kept in the store, and each
+/// leader registers itself before it does anything else, so that the list is
+/// complete. A leader whose time limit has passed is removed from the list
+/// without its confirmation: its host may never answer again, and every later
+/// leader would wait for it anew (18 s each, for a task on a host that is lost
+/// as well). Owned by one event loop.
 class Predecessors {
 public:
   struct Options {
     std::string Key = "oriolebay/leaders";
     std::string LeaderKey;
-    Reign Mine;
-    /// By then after this leader's election no earlier one keeps any task
-    /// alive, whether it answers or not.
-    absl::Duration AllOverAfter = absl::Seconds(18);
-    absl::Duration AskAgain = absl::Milliseconds(300);
+    Reign OwnTerm;
+    /// Time after this leader's election by which no previous leader keeps any
+    /// task alive, whether it answers or not.
+    absl::Duration TimeLimit = absl::Seconds(18);
+    absl::Duration RetryDelay = absl::Milliseconds(300);
     int PeerTimeoutMs = 400;
   };
-  /// This leader stands in the list and may begin.
-  using OnEntered = std::function<void()>;
-  /// All earlier ones have stood down by now.
-  using OnGone = std::function<void(absl::Time)>;
+  /// This leader is registered in the list and can begin.
+  using OnRegistered = std::function<void()>;
+  /// No previous leader keeps tasks alive any more since the given time.
+  using OnAllGone = std::function<void(absl::Time)>;
 
   Predecessors(utils::EventLoop &loop, const platform::Store &store,
                const endpoints::Peers &peers, Options options,
-               OnEntered onEntered, OnGone onGone);
+               OnRegistered onRegistered, OnAllGone onAllGone);
   ~Predecessors();
   Predecessors(const Predecessors &) = delete;
   Predecessors &operator=(const Predecessors &) = delete;
@@ -63,23 +64,23 @@
 private:
   void read();
   void onRead(const platform::StoreReply<platform::KeyValue> &reply);
-  void enter(std::vector<Reign> earlier, int64_t revision);
-  void readLater();
-  void ask(const Reign &reign);
-  void askAll();
-  void stoodDown(const Reign &reign);
-  void allOver();
-  void noneLeft();
-  void forgetAll();
+  void registerTerm(std::vector<Reign> previousTerms, int64_t revision);
+  void scheduleRead();
+  void requestStepDown(const Reign &term);
+  void requestAllStepDowns();
+  void onSteppedDown(const Reign &term);
+  void onTimeLimit();
+  void onNoneLeft();
+  void removePreviousTerms();
 
   utils::EventLoop &Loop;
   const platform::Store &Calls;
   const endpoints::Peers &Peers;
-  const Options Setup;
-  const OnEntered Entered;
-  const OnGone Gone;
+  const Options Params;
+  const OnRegistered ReportRegistered;
+  const OnAllGone ReportAllGone;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  std::vector<Reign> Earlier;
+  std::vector<Reign> PreviousTerms;
   int64_t Revision = 0;
 };
 
--- a/src/libs/entry/recorder.cpp
+++ b/src/libs/entry/recorder.cpp
@@ -20,10 +20,10 @@
 const char *const GangPrefix = "/oriolebay/gangs/";
 const char *const RequestPrefix = "/oriolebay/requests/";
 constexpr int WriteAttempts = 3;
-// After a failed call the store counts as down for this long, so that in an
-// outage each caller is answered at once and not after its own timeouts.
-const absl::Duration DownFor = absl::Milliseconds(500);
-const absl::Duration FlushPeriod = absl::Milliseconds(100);
+// Time for which the store counts as down after a failed call, so that in an
+// outage each caller is answered at once and not after timeouts of its own.
+const absl::Duration StoreDownTime = absl::Milliseconds(500);
+const absl::Duration EndRetryPeriod = absl::Milliseconds(100);
 
 std::string gangKey(const scheduler::RunId &run) {
   return absl::StrCat(GangPrefix, run);
@@ -33,7 +33,7 @@
   return absl::StrCat(RequestPrefix, job.Organisation, "/", job.IdempotencyKey);
 }
 
-Compare leads(int64_t epoch) {
+Compare leadsWithEpoch(int64_t epoch) {
   return {platform::LeaderKey, Compare::Field::CreateRevision, epoch};
 }
 
@@ -49,16 +49,16 @@
 Recorder::Recorder(platform::KvClient &kv, size_t capacity,
                    int64_t retryAfterMs, OnOutcome onOutcome,
                    OnStoreError onError)
-    : Kv(kv), RetryAfterMs(retryAfterMs), Deliver(std::move(onOutcome)),
-      Report(std::move(onError)), Requests(capacity),
-      Thread([this] { work(); }) {}
+    : Kv(kv), RetryAfterMs(retryAfterMs), DeliverOutcome(std::move(onOutcome)),
+      ReportError(std::move(onError)), Requests(capacity),
+      Thread([this] { processRequests(); }) {}
 
 Recorder::~Recorder() { stop(); }
 
 void Recorder::stop() {
   Requests.close();
-  if (!StopNow.HasBeenNotified())
-    StopNow.Notify();
+  if (!StopRequested.HasBeenNotified())
+    StopRequested.Notify();
   if (Thread.joinable())
     Thread.join();
 }
@@ -68,44 +68,45 @@
 }
 
 void Recorder::end(RecordEnd request) {
-  // Dropping an end would leave a run that a later leader takes over for
-  // nothing, so this waits for room; the thread takes requests all the time.
+  // If the end of a run were dropped, a later leader would adopt the run for
+  // nothing. Therefore wait until the queue has space; the thread empties it
+  // continuously.
   Request item = std::move(request);
-  while (!Requests.tryPush(item) && !StopNow.HasBeenNotified())
+  while (!Requests.tryPush(item) && !StopRequested.HasBeenNotified())
     absl::SleepFor(absl::Milliseconds(1));
 }
 
-void Recorder::work() {
+void Recorder::processRequests() {
   while (true) {
-    std::optional<Request> request =
-        Requests.pop(Ends.empty() ? absl::InfiniteDuration() : FlushPeriod);
-    if (!request && StopNow.HasBeenNotified())
+    std::optional<Request> request = Requests.pop(
+        PendingEnds.empty() ? absl::InfiniteDuration() : EndRetryPeriod);
+    if (!request && StopRequested.HasBeenNotified())
       break;
     if (request && std::holds_alternative<RecordStart>(*request))
-      record(std::get<RecordStart>(*request));
+      writeStart(std::get<RecordStart>(*request));
     else if (request)
-      Ends.push_back(std::get<RecordEnd>(std::move(*request)));
-    // Starts go first: callers wait for them.
+      PendingEnds.push_back(std::get<RecordEnd>(std::move(*request)));
+    // Starts are written first, because callers wait for them.
     if (Requests.size() == 0)
-      flushEnds();
+      writeEnds();
   }
-  flushEnds();
+  writeEnds();
 }
 
-Recorder::Written Recorder::write(const std::vector<Compare> &conditions,
-                                  const std::vector<Write> &writes,
-                                  std::vector<KeyValue> &current) {
-  if (steadyNow() < DownUntil)
-    return Written::Unknown;
-  return utils::handle<Written>(
-      [&]() -> utils::Result<Written> {
-        BOOST_LEAF_AUTO(res, Kv.txn(conditions, writes));
-        current = res.Current;
-        return res.Succeeded ? Written::Yes : Written::No;
+Recorder::WriteResult Recorder::write(const std::vector<Compare> &conditions,
+                                      const std::vector<Write> &writes,
+                                      std::vector<KeyValue> &currentItems) {
+  if (steadyNow() < StoreDownUntil)
+    return WriteResult::Unknown;
+  return utils::handle<WriteResult>(
+      [&]() -> utils::Result<WriteResult> {
+        BOOST_LEAF_AUTO(reply, Kv.txn(conditions, writes));
+        currentItems = reply.Current;
+        return reply.Succeeded ? WriteResult::Done : WriteResult::Conflict;
       },
       [&](const utils::Error &e) {
-        Report(e);
-        return Written::Unknown;
+        ReportError(e);
+        return WriteResult::Unknown;
       });
 }
 
@@ -115,31 +116,33 @@
                       NotRunReason::StoreUnavailable, detail, RetryAfterMs);
 }
 
-// Why a conditional write was refused: another entry leads, another gang has
-// the idempotency key, or this one's own earlier write took effect although
-// its reply was lost.
-RecordOutcome Recorder::judge(const RecordStart &request,
-                              const std::vector<KeyValue> &current,
-                              bool &tryAgain, int64_t &revision) {
-  RecordOutcome out{RecordOutcome::Kind::Deposed, request, {}, "", 0};
+// Determines why a conditional write was refused: another entry leads, another
+// gang holds the idempotency key, or an earlier write of this run took effect
+// although its reply was lost. Sets canRetry if the write can be retried, on
+// condition of the given revision of the idempotency key.
+RecordOutcome
+Recorder::explainConflict(const RecordStart &request,
+                          const std::vector<KeyValue> &currentItems,
+                          bool &canRetry, int64_t &keyRevision) {
+  RecordOutcome out{RecordOutcome::Kind::LeadershipLost, request, {}, "", 0};
   const core::JobRequest &job = request.Start.Request.Job;
   bool leading = false;
-  const KeyValue *prior = nullptr;
-  for (const KeyValue &kv : current) {
+  const KeyValue *priorRecord = nullptr;
+  for (const KeyValue &kv : currentItems) {
     if (kv.Key == platform::LeaderKey)
       leading = kv.CreateRevision == request.Epoch;
     else
-      prior = &kv;
+      priorRecord = &kv;
   }
   if (!leading)
     return out;
   out.What = RecordOutcome::Kind::Refused;
-  tryAgain = prior == nullptr;
-  if (prior == nullptr) {
-    revision = 0;
+  canRetry = priorRecord == nullptr;
+  if (priorRecord == nullptr) {
+    keyRevision = 0;
     return out;
   }
-  const json record = json::parse(prior->Value, nullptr, false);
+  const json record = json::parse(priorRecord->Value, nullptr, false);
   const std::string holder =
       record.is_object() ? record.value("gang", std::string()) : std::string();
   if (record.is_object() && record.contains("answer")) {
@@ -148,76 +151,82 @@
     return out;
   }
   if (holder == request.Start.Request.GangId) {
-    tryAgain = true;
-    revision = prior->ModRevision;
+    canRetry = true;
+    keyRevision = priorRecord->ModRevision;
     return out;
   }
-  out.What = RecordOutcome::Kind::Taken;
+  out.What = RecordOutcome::Kind::KeyInUse;
   out.Holder = holder;
-  out.HolderRevision = prior->ModRevision;
+  out.HolderRevision = priorRecord->ModRevision;
   return out;
 }
 
-void Recorder::record(const RecordStart &request) {
+void Recorder::writeStart(const RecordStart &request) {
   const scheduler::StartGang &start = request.Start;
   const core::JobRequest &job = start.Request.Job;
-  int64_t revision = request.PriorRevision;
+  int64_t keyRevision = request.PriorRevision;
   const std::vector<Write> writes = [&] {
     std::vector<Write> out{{gangKey(start.Run), gangRecord(start).dump(), 0}};
-    // At most once: the key is taken in the same transaction, before anything
-    // is started, so a second request with it finds it taken.
+    // At-most-once execution: the idempotency key is written in the same
+    // transaction, before anything is started, so that a second request with it
+    // is refused.
     if (!job.Idempotent)
       out.push_back(
           {requestKey(job), json{{"gang", start.Request.GangId}}.dump(), 0});
     return out;
   }();
   for (int attempt = 0; attempt < WriteAttempts; ++attempt) {
-    std::vector<Compare> conditions{leads(request.Epoch)};
+    std::vector<Compare> conditions{leadsWithEpoch(request.Epoch)};
     if (!job.Idempotent)
       conditions.push_back(
-          {requestKey(job), Compare::Field::ModRevision, revision});
-    std::vector<KeyValue> current;
-    const Written written = write(conditions, writes, current);
-    if (written == Written::Yes)
-      return Deliver({RecordOutcome::Kind::Recorded, request, {}, "", 0});
-    if (written == Written::Unknown)
+          {requestKey(job), Compare::Field::ModRevision, keyRevision});
+    std::vector<KeyValue> currentItems;
+    const WriteResult result = write(conditions, writes, currentItems);
+    if (result == WriteResult::Done)
+      return DeliverOutcome(
+          {RecordOutcome::Kind::Recorded, request, {}, "", 0});
+    if (result == WriteResult::Unknown)
       continue;
-    bool tryAgain = false;
-    RecordOutcome out = judge(request, current, tryAgain, revision);
-    if (!tryAgain)
-      return Deliver(std::move(out));
+    bool canRetry = false;
+    RecordOutcome out =
+        explainConflict(request, currentItems, canRetry, keyRevision);
+    if (!canRetry)
+      return DeliverOutcome(std::move(out));
   }
-  // A write may have taken effect although no reply came. Nothing was started,
-  // so the record is taken back as soon as the store answers.
-  if (steadyNow() >= DownUntil)
-    DownUntil = steadyNow() + DownFor;
-  Ends.push_back(RecordEnd{request.Epoch, start.Run, std::nullopt, "", {}});
-  Deliver({RecordOutcome::Kind::Refused, request,
-           refusal(request, "the store did not confirm the start; nothing was "
-                            "started"),
-           "", 0});
+  // A write may have taken effect although no reply arrived. Nothing was
+  // started, so the record is deleted as soon as the store answers.
+  if (steadyNow() >= StoreDownUntil)
+    StoreDownUntil = steadyNow() + StoreDownTime;
+  PendingEnds.push_back(
+      RecordEnd{request.Epoch, start.Run, std::nullopt, "", {}});
+  DeliverOutcome(
+      {RecordOutcome::Kind::Refused, request,
+       refusal(request, "the store did not confirm the start; nothing was "
+                        "started"),
+       "", 0});
 }
 
-void Recorder::flushEnds() {
-  while (!Ends.empty() && steadyNow() >= DownUntil) {
-    const RecordEnd &end = Ends.front();
+void Recorder::writeEnds() {
+  while (!PendingEnds.empty() && steadyNow() >= StoreDownUntil) {
+    const RecordEnd &end = PendingEnds.front();
     std::vector<Write> writes{{gangKey(end.Run), std::nullopt, 0}};
     if (end.Job && end.Answer)
       writes.push_back(
           {requestKey(*end.Job),
            json{{"gang", end.GangId}, {"answer", *end.Answer}}.dump(), 0});
-    std::vector<KeyValue> current;
-    if (write({leads(end.Epoch)}, writes, current) == Written::Unknown) {
-      DownUntil = steadyNow() + DownFor;
+    std::vector<KeyValue> currentItems;
+    if (write({leadsWithEpoch(end.Epoch)}, writes, currentItems) ==
+        WriteResult::Unknown) {
+      StoreDownUntil = steadyNow() + StoreDownTime;
       return;
     }
-    // Refused means that another entry leads: it has taken the run over and
-    // settles it.
-    Ends.pop_front();
+    // A refusal means that another entry leads. It has adopted the run and
+    // resolves it.
+    PendingEnds.pop_front();
   }
 }
 
-utils::Result<std::vector<scheduler::AdoptedRun>> Recorder::load() {
+utils::Result<std::vector<scheduler::AdoptedRun>> Recorder::loadUnendedRuns() {
   BOOST_LEAF_AUTO(kvs, Kv.list(GangPrefix));
   std::vector<scheduler::AdoptedRun> out;
   for (const KeyValue &kv : kvs) {
@@ -229,9 +238,10 @@
                      r.at("workers").get<placement::Assignment>(),
                      r.at("attempt").get<int>()});
     } catch (const json::exception &) {
-      return utils::fail(utils::ErrorKind::StoreBadReply,
-                         "the record " + kv.Key + " is not a gang's",
-                         "remove the key if no entry of this version wrote it");
+      return utils::fail(
+          utils::ErrorKind::StoreBadReply,
+          "the record " + kv.Key + " is not a valid gang record",
+          "remove the key if it was not written by an entry of this version");
     }
   }
   return out;
--- a/src/libs/entry/recorder.h
+++ b/src/libs/entry/recorder.h
@@ -16,15 +16,15 @@
 
 namespace oriolebay::entry {
 
-/// A run to be recorded before it starts. PriorRevision is the revision of an
-/// abandoned at-most-once record that it may replace, zero for none.
+/// A run that must be recorded before it starts. PriorRevision is the revision
+/// of an abandoned at-most-once record that it may replace, zero for none.
 struct RecordStart {
   int64_t Epoch = 0;
   scheduler::StartGang Start;
   int64_t PriorRevision = 0;
 };
-/// A run that ended, or will not start: its record goes. Answer completes the
-/// at-most-once record of a non-idempotent request that ran.
+/// A run that ended or will not start, so that its record is deleted. Answer
+/// completes the at-most-once record of a non-idempotent request that ran.
 struct RecordEnd {
   int64_t Epoch = 0;
   scheduler::RunId Run;
@@ -33,12 +33,12 @@
   std::optional<core::JobAnswer> Answer;
 };
 
-/// What became of a RecordStart. Recorded: the store has the run under this
-/// leader's epoch and it may start. Refused: it must not start, and Answer is
-/// the caller's. Taken: another gang holds the idempotency key. Deposed:
-/// another entry leads, which is to be asked instead.
+/// The result of a RecordStart. Recorded: the store has the run under this
+/// leader's epoch and it can start. Refused: it must not start, and Answer is
+/// sent to the caller. KeyInUse: another gang holds the idempotency key.
+/// LeadershipLost: another entry leads and must be asked instead.
 struct RecordOutcome {
-  enum class Kind { Recorded, Refused, Taken, Deposed };
+  enum class Kind { Recorded, Refused, KeyInUse, LeadershipLost };
   Kind What = Kind::Refused;
   RecordStart Request;
   core::JobAnswer Answer;
@@ -46,10 +46,10 @@
   int64_t HolderRevision = 0;
 };
 
-/// Keeps in the platform's store what must outlive a leader: which runs were
-/// started where, and which non-idempotent requests were taken. Its thread
-/// writes one transaction a run before it starts and one after it ended, each
-/// under the condition that this entry still leads.
+/// Keeps in the platform's store the data that must outlive a leader: which
+/// runs were started on which workers, and which non-idempotent requests were
+/// accepted. Its thread writes one transaction for each run before it starts
+/// and one after it has ended, each on condition that this entry still leads.
 class Recorder {
 public:
   using OnOutcome = std::function<void(RecordOutcome)>;
@@ -59,38 +59,41 @@
            OnOutcome onOutcome, OnStoreError onError);
   ~Recorder();
 
-  /// False when too much waits to be recorded.
+  /// Queues a run to be recorded. Returns false if the queue is full.
   bool start(RecordStart request);
+  /// Queues the deletion of a run's record; blocks while the queue is full.
   void end(RecordEnd request);
   void stop();
 
-  /// The runs that earlier leaders recorded and that have not ended.
-  utils::Result<std::vector<scheduler::AdoptedRun>> load();
+  /// Reads the runs that earlier leaders recorded and that have not ended.
+  utils::Result<std::vector<scheduler::AdoptedRun>> loadUnendedRuns();
 
 private:
   using Request = std::variant<RecordStart, RecordEnd>;
-  enum class Written { Yes, No, Unknown };
+  enum class WriteResult { Done, Conflict, Unknown };
 
-  void work();
-  void record(const RecordStart &request);
-  Written write(const std::vector<platform::Compare> &conditions,
-                const std::vector<platform::Write> &writes,
-                std::vector<platform::KeyValue> &current);
-  RecordOutcome judge(const RecordStart &request,
-                      const std::vector<platform::KeyValue> &current,
-                      bool &tryAgain, int64_t &revision);
-  void flushEnds();
+  void processRequests();
+  void writeStart(const RecordStart &request);
+  WriteResult write(const std::vector<platform::Compare> &conditions,
+                    const std::vector<platform::Write> &writes,
+                    std::vector<platform::KeyValue> &currentItems);
+  RecordOutcome
+  explainConflict(const RecordStart &request,
+                  const std::vector<platform::KeyValue> &currentItems,
+                  bool &canRetry, int64_t &keyRevision);
+  void writeEnds();
   core::JobAnswer refusal(const RecordStart &request,
                           const std::string &detail) const;
 
   platform::KvClient &Kv;
   const int64_t RetryAfterMs;
-  const OnOutcome Deliver;
-  const OnStoreError Report;
+  const OnOutcome DeliverOutcome;
+  const OnStoreError ReportError;
   utils::BoundedQueue<Request> Requests;
-  std::deque<RecordEnd> Ends;
-  absl::Time DownUntil = absl::InfinitePast();
-  absl::Notification StopNow;
+  std::deque<RecordEnd> PendingEnds;
+  /// No call to the store is made before this time, after one failed.
+  absl::Time StoreDownUntil = absl::InfinitePast();
+  absl::Notification StopRequested;
   std::thread Thread;
 };
 
--- a/src/libs/entry/submitter.cpp
+++ b/src/libs/entry/submitter.cpp
@@ -16,19 +16,19 @@
 const absl::Duration RetryPeriod = absl::Milliseconds(50);
 } // namespace
 
-Submitter::Submitter(const std::string &name, int64_t start,
-                     std::string replyTo, absl::Duration noLeaderPatience,
-                     int64_t retryAfterMs, Local local)
-    : Prefix(absl::StrCat(name, "-", absl::Hex(start), "-")),
-      ReplyTo(std::move(replyTo)), NoLeaderPatience(noLeaderPatience),
-      RetryAfterMs(retryAfterMs), ToOwn(std::move(local)) {}
+Submitter::Submitter(const std::string &name, int64_t startTime,
+                     std::string replyTo, absl::Duration noLeaderTimeout,
+                     int64_t retryAfterMs, LocalSender localSender)
+    : GangIdPrefix(absl::StrCat(name, "-", absl::Hex(startTime), "-")),
+      ReplyTo(std::move(replyTo)), NoLeaderTimeout(noLeaderTimeout),
+      RetryAfterMs(retryAfterMs), SendToOwnScheduler(std::move(localSender)) {}
 
 int Submitter::waiting() const {
   absl::MutexLock lock(&Mu);
   return static_cast<int>(Waiters.size());
 }
 
-void Submitter::follow(const platform::Leadership &leadership) {
+void Submitter::onLeadership(const platform::Leadership &leadership) {
   absl::MutexLock lock(&Mu);
   Leader = leadership;
   LeaderChannel =
@@ -38,7 +38,7 @@
   Changed.SignalAll();
 }
 
-void Submitter::deliver(const endpoints::Answered &answered) {
+void Submitter::handleAnswer(const endpoints::Answered &answered) {
   absl::MutexLock lock(&Mu);
   auto it = Waiters.find(answered.GangId);
   if (it == Waiters.end())
@@ -60,51 +60,54 @@
     absl::MutexLock lock(&Mu);
     leader = Leader;
   }
-  return hand(cancel, leader) == Handed::Yes;
+  return sendToLeader(cancel, leader) == Delivery::Accepted;
 }
 
-Submitter::Handed Submitter::hand(const endpoints::Message &message,
-                                  const platform::Leadership &leader) {
+Submitter::Delivery
+Submitter::sendToLeader(const endpoints::Message &message,
+                        const platform::Leadership &leader) {
   if (leader.Mine)
-    return ToOwn(message) ? Handed::Yes : Handed::No;
+    return SendToOwnScheduler(message) ? Delivery::Accepted : Delivery::Refused;
   std::shared_ptr<endpoints::RequestChannel> channel;
   {
     absl::MutexLock lock(&Mu);
     channel = LeaderChannel;
   }
   if (channel == nullptr)
-    return Handed::No;
+    return Delivery::Refused;
   auto reply =
       endpoints::RequestChannel::call(channel, message, LeaderCallTimeoutMs);
   if (!reply)
-    return Handed::Unknown;
+    return Delivery::Unknown;
   const auto *ack = std::get_if<endpoints::Ack>(&*reply);
-  return ack != nullptr && ack->Ok ? Handed::Yes : Handed::No;
+  return ack != nullptr && ack->Ok ? Delivery::Accepted : Delivery::Refused;
 }
 
 JobAnswer Submitter::submit(const core::JobRequest &job) {
-  const std::string id = absl::StrCat(Prefix, NextGang++);
+  const std::string id = absl::StrCat(GangIdPrefix, NextGangNumber++);
   auto waiter = std::make_shared<Waiter>();
   const absl::Time arrived = steadyNow();
-  // Once a leader may have taken the gang, only a leader can tell what became
-  // of it: from then on there is no "not run" from here.
-  bool mayHaveIt = false;
-  int64_t handedTo = 0;
+  // Once a leader may have accepted the gang, only a leader knows its state.
+  // From then on this entry must not answer "not run".
+  bool possiblyAccepted = false;
+  int64_t acceptedEpoch = 0;
   Mu.Lock();
   Waiters[id] = waiter;
   while (!waiter->Answered) {
     const platform::Leadership leader = Leader;
-    if (leader.Epoch != 0 && leader.Epoch != handedTo && !Stopping) {
+    if (leader.Epoch != 0 && leader.Epoch != acceptedEpoch && !Stopping) {
       Mu.Unlock();
-      const Handed handed = hand(endpoints::Submit{id, job, ReplyTo}, leader);
+      const Delivery delivery =
+          sendToLeader(endpoints::Submit{id, job, ReplyTo}, leader);
       Mu.Lock();
-      mayHaveIt = mayHaveIt || handed != Handed::No;
-      if (handed == Handed::Yes)
-        handedTo = leader.Epoch;
+      possiblyAccepted = possiblyAccepted || delivery != Delivery::Refused;
+      if (delivery == Delivery::Accepted)
+        acceptedEpoch = leader.Epoch;
     }
     if (waiter->Answered)
       break;
-    if (!mayHaveIt && (Stopping || steadyNow() - arrived > NoLeaderPatience)) {
+    if (!possiblyAccepted &&
+        (Stopping || steadyNow() - arrived > NoLeaderTimeout)) {
       waiter->Answer = core::notRun(
           job.Id,
           Stopping ? NotRunReason::ShuttingDown
@@ -113,7 +116,7 @@
           RetryAfterMs);
       break;
     }
-    if (mayHaveIt && Stopping) {
+    if (possiblyAccepted && Stopping) {
       waiter->Answer = {job.Id,
                         Outcome::Failed,
                         NotRunReason::None,
@@ -123,8 +126,9 @@
                         {}};
       break;
     }
-    // Handed over: wait for the answer or a new leader. Else try again soon.
-    if (handedTo != 0 && handedTo == Leader.Epoch)
+    // If the current leader has accepted the gang, wait for the answer or for a
+    // new leader; otherwise retry soon.
+    if (acceptedEpoch != 0 && acceptedEpoch == Leader.Epoch)
       Changed.Wait(&Mu);
     else
       Changed.WaitWithTimeout(&Mu, RetryPeriod);
--- a/src/libs/entry/submitter.h
+++ b/src/libs/entry/submitter.h
@@ -15,32 +15,36 @@
 
 namespace oriolebay::entry {
 
-/// Holds the callers that wait at this entry and sees to it that the leading
-/// entry has their gangs: it hands each over, and hands it over again, under
-/// the same gang id, when another entry takes the lead.
+/// Holds the callers that wait at this entry, and ensures that the leader has
+/// their gangs: it submits each gang to the leader, and submits it again under
+/// the same gang id when another entry becomes leader.
 class Submitter {
 public:
-  /// Hands a message to this entry's own scheduler; false when it is full or
-  /// does not lead.
-  using Local = std::function<bool(endpoints::Message)>;
+  /// Passes a message to this entry's own scheduler. Returns false if its queue
+  /// is full or this entry does not lead.
+  using LocalSender = std::function<bool(endpoints::Message)>;
 
-  /// Name makes gang ids unique among entries, and start among the lives of
-  /// this entry. ReplyTo is the entry's own nng address.
-  Submitter(const std::string &name, int64_t start, std::string replyTo,
-            absl::Duration noLeaderPatience, int64_t retryAfterMs, Local local);
+  /// Name makes gang ids unique among entries, and startTime among the
+  /// incarnations of this entry. ReplyTo is the entry's own nng address.
+  Submitter(const std::string &name, int64_t startTime, std::string replyTo,
+            absl::Duration noLeaderTimeout, int64_t retryAfterMs,
+            LocalSender localSender);
 
-  /// Blocks the caller's thread until its gang has been answered. When no
-  /// entry leads and the gang was handed to none, it is answered "not run".
+  /// Blocks the caller's thread until its gang has been answered. If no leader
+  /// can have accepted the gang within noLeaderTimeout, it is answered "not
+  /// run".
   core::JobAnswer submit(const core::JobRequest &job);
-  /// Passes a cancellation to the leading entry; false when none took it.
+  /// Passes a cancellation to the leader. Returns false if it was not accepted.
   bool cancel(const endpoints::Cancel &cancel);
-  /// The answer of a gang, from the leading entry. Answers of gangs that
-  /// nobody waits for are dropped.
-  void deliver(const endpoints::Answered &answered);
-  void follow(const platform::Leadership &leadership);
+  /// Handles the answer of a gang, sent by the leader. Answers of gangs for
+  /// which no caller waits are discarded.
+  void handleAnswer(const endpoints::Answered &answered);
+  /// Sets the leader to which gangs are submitted.
+  void onLeadership(const platform::Leadership &leadership);
+  /// The number of callers that wait.
   int waiting() const;
-  /// Nobody is handed over any more, and those not handed over yet are
-  /// answered "not run".
+  /// Stops submitting gangs to the leader, and answers the waiting ones: "not
+  /// run" if no leader can have the gang, else as failed.
   void shutDown();
 
 private:
@@ -48,17 +52,17 @@
     bool Answered = false;
     core::JobAnswer Answer;
   };
-  enum class Handed { Yes, No, Unknown };
+  enum class Delivery { Accepted, Refused, Unknown };
 
-  Handed hand(const endpoints::Message &message,
-              const platform::Leadership &leader);
+  Delivery sendToLeader(const endpoints::Message &message,
+                        const platform::Leadership &leader);
 
-  const std::string Prefix;
+  const std::string GangIdPrefix;
   const std::string ReplyTo;
-  const absl::Duration NoLeaderPatience;
+  const absl::Duration NoLeaderTimeout;
   const int64_t RetryAfterMs;
-  const Local ToOwn;
-  std::atomic<uint64_t> NextGang{0};
+  const LocalSender SendToOwnScheduler;
+  std::atomic<uint64_t> NextGangNumber{0};
   mutable absl::Mutex Mu;
   absl::CondVar Changed;
   platform::Leadership Leader;
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -107,18 +107,19 @@
 
 std::vector<RunId> ClusterState::findSilent(absl::Time now,
                                             absl::Duration timeout) {
-  std::set<std::string> silent;
+  std::set<std::string> newlyUnresponsive;
   for (auto &[id, w] : Workers)
     if (!w.Unresponsive && now - w.LastSeen > timeout) {
       w.Unresponsive = true;
-      silent.insert(id);
+      newlyUnresponsive.insert(id);
     }
   std::vector<RunId> runs;
-  if (silent.empty())
+  if (newlyUnresponsive.empty())
     return runs;
   for (const auto &[run, gang] : Gangs)
-    if (std::any_of(gang.Workers.begin(), gang.Workers.end(),
-                    [&](const std::string &w) { return silent.count(w); }))
+    if (std::any_of(
+            gang.Workers.begin(), gang.Workers.end(),
+            [&](const std::string &w) { return newlyUnresponsive.count(w); }))
       runs.push_back(run);
   return runs;
 }
