--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -333,8 +333,8 @@
   p.RetryAfterMs = Settings.RetryAfterMs;
   p.MaxAttempts = Settings.MaxAttempts;
   p.MaxPending = static_cast<size_t>(Settings.MaxPendingJobs);
-  p.Patience = [wait = absl::Milliseconds(Settings.MaxQueueWaitMs)](
-                   const core::JobRequest &job) {
+  p.WaitLimit = [wait = absl::Milliseconds(Settings.MaxQueueWaitMs)](
+                    const core::JobRequest &job) {
     if (job.Class == core::JobClass::Urgent || job.DeadlineUnixMs == 0)
       return wait;
     return std::max(wait, absl::FromUnixMillis(job.DeadlineUnixMs) -
@@ -396,7 +396,7 @@
       answer.JobId = start.Request.Job.Id;
       return abortStart(std::move(answer));
     }
-    if (Scheduler->knows(outcome.Holder))
+    if (Scheduler->hasGang(outcome.Holder))
       return abortStart({start.Request.Job.Id,
                          Outcome::InProgress,
                          NotRunReason::None,
@@ -532,18 +532,20 @@
   RunRecorder->end(std::move(end));
 }
 
-void EntryService::perform(const scheduler::Note &note) {
-  switch (note.What) {
+void EntryService::perform(const scheduler::Note &logReason) {
+  switch (logReason.What) {
   case scheduler::Note::Kind::Stopping:
     ++Stopped;
-    logEvent(Event::GangStopping, {{"run", note.Subject}, {"why", note.Why}});
+    logEvent(Event::GangStopping,
+             {{"run", logReason.Subject}, {"why", logReason.Why}});
     return;
   case scheduler::Note::Kind::Requeued:
-    logEvent(Event::GangRequeued, {{"gang", note.Subject}, {"why", note.Why}});
+    logEvent(Event::GangRequeued,
+             {{"gang", logReason.Subject}, {"why", logReason.Why}});
     return;
-  case scheduler::Note::Kind::WorkerKeptOut:
+  case scheduler::Note::Kind::WorkerQuarantined:
     logEvent(Event::WorkerKeptOut,
-             {{"worker", note.Subject}, {"why", note.Why}});
+             {{"worker", logReason.Subject}, {"why", logReason.Why}});
     return;
   }
 }
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -105,8 +105,8 @@
     SlotLayoutDirty = true;
 }
 
-std::vector<RunId> ClusterState::findSilent(absl::Time now,
-                                            absl::Duration timeout) {
+std::vector<RunId> ClusterState::findUnresponsive(absl::Time now,
+                                                  absl::Duration timeout) {
   std::set<std::string> newlyUnresponsive;
   for (auto &[id, w] : Workers)
     if (!w.Unresponsive && now - w.LastSeen > timeout) {
@@ -162,8 +162,8 @@
     return;
   w.QuarantineDuration =
       w.QuarantineDuration == absl::ZeroDuration()
-          ? Quarantine.First
-          : std::min(Quarantine.Longest, w.QuarantineDuration * 2);
+          ? Quarantine.InitialDuration
+          : std::min(Quarantine.MaxDuration, w.QuarantineDuration * 2);
   w.QuarantinedUntil = now + w.QuarantineDuration;
 }
 
@@ -238,8 +238,8 @@
   return p == nullptr ? 0 : p->guaranteedAccelerators(organisation.second);
 }
 
-bool ClusterState::quarantined(const std::string &workerId,
-                               absl::Time now) const {
+bool ClusterState::isQuarantined(const std::string &workerId,
+                                 absl::Time now) const {
   auto it = Workers.find(workerId);
   return it != Workers.end() && it->second.QuarantinedUntil > now;
 }
--- a/src/libs/placement/clusterstate.h
+++ b/src/libs/placement/clusterstate.h
@@ -76,8 +76,8 @@
 /// failure, up to the maximum.
 struct QuarantinePolicy {
   int FailuresInARow = 3;
-  absl::Duration First = absl::Seconds(2);
-  absl::Duration Longest = absl::Seconds(60);
+  absl::Duration InitialDuration = absl::Seconds(2);
+  absl::Duration MaxDuration = absl::Seconds(60);
 };
 
 /// The state of the site from one scheduler's view: the workers, the gangs on
@@ -103,7 +103,7 @@
   /// unresponsive, and returns the runs on those that were not marked before.
   /// An unresponsive worker gets no new work, but the tasks on it stay charged:
   /// it may be partitioned from this entry and still run them.
-  std::vector<RunId> findSilent(absl::Time now, absl::Duration timeout);
+  std::vector<RunId> findUnresponsive(absl::Time now, absl::Duration timeout);
   /// Removes workers without an announcement for longer than lease, after which
   /// their tasks have certainly been stopped, and returns the runs that had
   /// members there.
@@ -159,7 +159,7 @@
   const Allocation *allocation(const RunId &run) const;
   const std::map<RunId, Allocation> &allocations() const { return Gangs; }
   bool workerKnown(const std::string &workerId) const;
-  bool quarantined(const std::string &workerId, absl::Time now) const;
+  bool isQuarantined(const std::string &workerId, absl::Time now) const;
   /// Number of guaranteed accelerators whose slots are on no worker now. It is
   /// above zero only while workers are missing, while the profiles guarantee
   /// more than the site has, or while non-idempotent gangs still use capacity
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -33,7 +33,7 @@
   return std::exchange(Actions, {});
 }
 
-bool GangScheduler::knows(const std::string &gangId) const {
+bool GangScheduler::hasGang(const std::string &gangId) const {
   return std::any_of(Pending.begin(), Pending.end(),
                      [&](const PendingGang &p) {
                        return p.Request.GangId == gangId;
@@ -54,7 +54,7 @@
   for (auto &[run, r] : Runs)
     if (r.Gang.Request.GangId == request.GangId)
       r.Orphan = false;
-  if (knows(request.GangId))
+  if (hasGang(request.GangId))
     return;
   PendingGang gang;
   gang.Request = std::move(request);
@@ -242,10 +242,10 @@
   if (!result.Saved.empty())
     it->second.Saved = result.Saved;
   if (result.End != TaskEnd::Stopped) {
-    const bool wasQuarantined = State.quarantined(result.WorkerId, now);
+    const bool wasQuarantined = State.isQuarantined(result.WorkerId, now);
     State.recordTaskEnd(result.WorkerId, result.End == TaskEnd::Done, now);
-    if (!wasQuarantined && State.quarantined(result.WorkerId, now))
-      Actions.push_back(Note{Note::Kind::WorkerKeptOut, result.WorkerId,
+    if (!wasQuarantined && State.isQuarantined(result.WorkerId, now))
+      Actions.push_back(Note{Note::Kind::WorkerQuarantined, result.WorkerId,
                              "failed several tasks in a row"});
   }
   if (result.End == TaskEnd::Failed)
@@ -443,7 +443,7 @@
 }
 
 void GangScheduler::checkWorkers(absl::Time now) {
-  for (const RunId &run : State.findSilent(now, Limits.HeartbeatTimeout))
+  for (const RunId &run : State.findUnresponsive(now, Limits.HeartbeatTimeout))
     beginStop(run, StopCause::WorkerLost, "a worker is unresponsive", now);
   handleExpiredRuns(State.expireWorkers(now, Limits.TaskLease), now);
   std::vector<std::pair<RunId, std::string>> orphans;
@@ -501,7 +501,7 @@
     if (!refusal)
       continue;
     refused.emplace(std::move(requirements), *refusal);
-    const absl::Time waitEnd = gang.WaitingSince + Limits.Patience(job);
+    const absl::Time waitEnd = gang.WaitingSince + Limits.WaitLimit(job);
     // Refuse the gang when waiting cannot help or the wait limit is exceeded.
     // The answer then says when to try again.
     if (refusal->RetryAfterMs == 0 || now > waitEnd) {
--- a/src/libs/scheduler/gangscheduler.h
+++ b/src/libs/scheduler/gangscheduler.h
@@ -25,7 +25,7 @@
   /// stopped by themselves.
   absl::Duration TaskLease = absl::Seconds(11);
   /// Maximum time that a job waits for free capacity before it is refused.
-  std::function<absl::Duration(const core::JobRequest &)> Patience =
+  std::function<absl::Duration(const core::JobRequest &)> WaitLimit =
       [](const core::JobRequest &) { return absl::Seconds(2); };
   /// Waiting time after which other work is kept off the workers that are
   /// closest to having enough free capacity for the gang.
@@ -73,7 +73,7 @@
 };
 /// Action: log why a gang is stopped or requeued, or a worker is quarantined.
 struct Note {
-  enum class Kind { Stopping, Requeued, WorkerKeptOut };
+  enum class Kind { Stopping, Requeued, WorkerQuarantined };
   Kind What = Kind::Stopping;
   std::string Subject;
   std::string Why;
@@ -137,7 +137,7 @@
   placement::ClusterState &state() { return State; }
   size_t pending() const { return Pending.size(); }
   size_t running() const { return Runs.size(); }
-  bool knows(const std::string &gangId) const;
+  bool hasGang(const std::string &gangId) const;
   /// The largest number of accelerators per member among the waiting gangs,
   /// zero if none waits.
   int widestPending() const;
