--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -100,7 +100,7 @@
           {"finished", Finished.load()},
           {"duplicates", Duplicates.load()},
           {"gangs_stopped", Stopped.load()},
-          {"in_flight", Callers->waiting()},
+          {"in_flight", Callers->waitingCount()},
           {"pending", PendingCount.load()},
           {"running", RunningCount.load()},
           {"workers", WorkerCount.load()},
@@ -118,14 +118,14 @@
 void EntryService::stop() {
   if (Draining.exchange(true))
     return;
-  logEvent(Event::ProcessStopping, {{"in_flight", Callers->waiting()}});
+  logEvent(Event::ProcessStopping, {{"in_flight", Callers->waitingCount()}});
   if (LeadingEpoch != 0 && Election->othersRegistered())
     Election->resign();
   const absl::Time deadline =
       steadyNow() + absl::Milliseconds(Settings.DrainTimeoutMs);
-  while (Callers->waiting() > 0 && steadyNow() < deadline)
+  while (Callers->waitingCount() > 0 && steadyNow() < deadline)
     absl::SleepFor(TickPeriod);
-  const int unanswered = Callers->waiting();
+  const int unanswered = Callers->waitingCount();
   Callers->shutDown();
   Api->stop();
   if (LeadingEpoch != 0)
@@ -576,8 +576,8 @@
   placement::ClusterState &state = Scheduler->state();
   WorkerCount = state.workerCount();
   FreeAccelerators = state.freeAccelerators();
-  PendingCount = static_cast<int>(Scheduler->pending());
-  RunningCount = static_cast<int>(Scheduler->running());
+  PendingCount = static_cast<int>(Scheduler->pendingCount());
+  RunningCount = static_cast<int>(Scheduler->runningCount());
   ChargedWatts = state.runningWatts();
   const core::Shape reference{
       1, std::max(ReferenceWidth, Scheduler->widestPending()), 0};
--- a/src/libs/entry/leaderduty.cpp
+++ b/src/libs/entry/leaderduty.cpp
@@ -109,9 +109,9 @@
   // Without the store this entry may have been replaced. It continues for a
   // limited time; a new leader waits for that time for workers that it cannot
   // reach.
-  const absl::Duration unconfirmed = now - LastConfirmed();
-  ack.Doubtful = unconfirmed > Options.DoubtfulAfter;
-  if (report.Reachable && unconfirmed < Options.GrantWithoutStore)
+  const absl::Duration unconfirmedFor = now - LastConfirmed();
+  ack.Doubtful = unconfirmedFor > Options.DoubtfulAfter;
+  if (report.Reachable && unconfirmedFor < Options.GrantWithoutStore)
     ack.GrantMs = absl::ToInt64Milliseconds(Options.Grant);
   postPass();
   return ack;
--- a/src/libs/entry/submitter.cpp
+++ b/src/libs/entry/submitter.cpp
@@ -23,7 +23,7 @@
       ReplyTo(std::move(replyTo)), NoLeaderTimeout(noLeaderTimeout),
       RetryAfterMs(retryAfterMs), SendToOwnScheduler(std::move(localSender)) {}
 
-int Submitter::waiting() const {
+int Submitter::waitingCount() const {
   absl::MutexLock lock(&Mu);
   return static_cast<int>(Waiters.size());
 }
--- a/src/libs/entry/submitter.h
+++ b/src/libs/entry/submitter.h
@@ -42,7 +42,7 @@
   /// Sets the leader to which gangs are submitted.
   void onLeadership(const platform::Leadership &leadership);
   /// The number of callers that wait.
-  int waiting() const;
+  int waitingCount() const;
   /// Stops submitting gangs to the leader, and answers the waiting ones: "not
   /// run" if no leader can have the gang, else as failed.
   void shutDown();
--- a/src/libs/scheduler/gangscheduler.h
+++ b/src/libs/scheduler/gangscheduler.h
@@ -135,8 +135,8 @@
   std::vector<Action> takeActions();
 
   placement::ClusterState &state() { return State; }
-  size_t pending() const { return Pending.size(); }
-  size_t running() const { return Runs.size(); }
+  size_t pendingCount() const { return Pending.size(); }
+  size_t runningCount() const { return Runs.size(); }
   bool hasGang(const std::string &gangId) const;
   /// The largest number of accelerators per member among the waiting gangs,
   /// zero if none waits.
@@ -188,7 +188,7 @@
   void placePending(absl::Time now);
   std::optional<placement::Refusal>
   tryPlace(PendingGang &gang, absl::Time now,
-           const std::set<std::string> &draining);
+           const std::set<std::string> &drainedWorkers);
   void refusePending(PendingGang &gang, const placement::Refusal &refusal);
   void startRun(const RunId &run);
   void beginStop(const RunId &run, StopCause cause, const std::string &detail,
