--- a/src/libs/agent/agentservice.cpp
+++ b/src/libs/agent/agentservice.cpp
@@ -17,12 +17,15 @@
 
 namespace {
 constexpr int EntryCallTimeoutMs = 1000;
-// A paused leader that answers again is found out within this many beats.
-constexpr uint64_t BeatsPerRound = 3;
+// Every heartbeat of this number is sent to all entries, so that a previous
+// leader that was paused and answers again is detected within this many
+// heartbeats.
+constexpr uint64_t HeartbeatsPerBroadcast = 3;
 constexpr long BackendControlTimeoutMs = 1000;
 const absl::Duration RetryPeriod = absl::Milliseconds(100);
-// After a drain timed out, tasks are checkpointed; this bounds how long the
-// agent waits for the back end to do that and for the ends to be reported.
+// After the drain timeout the remaining tasks are checkpointed. This is the
+// maximum time that the agent waits for the back end to do that and for the
+// results to be reported.
 const absl::Duration CheckpointTimeout = absl::Seconds(5);
 
 std::string taskName(const std::string &run, int member) {
@@ -35,8 +38,8 @@
     : Settings(std::move(settings)), Incarnation(incarnation),
       Tasks(Settings.Worker.Accelerators,
             absl::Milliseconds(Settings.ReservationTimeoutMs)),
-      Runs(static_cast<size_t>(Settings.Worker.Accelerators)),
-      Results(static_cast<size_t>(Settings.Worker.Accelerators) * 4) {
+      TaskQueue(static_cast<size_t>(Settings.Worker.Accelerators)),
+      ResultQueue(static_cast<size_t>(Settings.Worker.Accelerators) * 4) {
   for (const std::string &e : Settings.Entries)
     Entries.push_back(std::make_shared<endpoints::RequestChannel>(e));
   Server = std::make_unique<endpoints::ReplyServer>(
@@ -44,9 +47,9 @@
       [this](const endpoints::Message &m) { return onRequest(m); });
   logEvent(Event::ListenerBound,
            {{"role", "entries"}, {"address", Server->address()}});
-  Announcer = std::thread([this] { announce(); });
+  Announcer = std::thread([this] { runHeartbeats(); });
   Stopper = std::thread([this] { stopTasks(); });
-  Reporter = std::thread([this] { report(); });
+  Reporter = std::thread([this] { reportResults(); });
   for (int i = 0; i < Settings.Worker.Accelerators; ++i)
     Runners.emplace_back([this] { runTasks(); });
 }
@@ -68,18 +71,18 @@
 void AgentService::sendToEntries() {
   core::WorkerInfo info = Settings.Worker;
   info.Address = Server->address();
-  // Announce on every beat: the same message serves as a heartbeat, tells what
-  // runs here, and registers the worker with an entry that has just started.
+  // The same message serves as a heartbeat, lists the tasks of this worker, and
+  // registers the worker with an entry that has just started.
   int64_t epoch = 0;
   {
     absl::MutexLock lock(&Mu);
     epoch = Epoch;
   }
-  // An entry that is down must not slow the heartbeats to the others: no call
-  // outlasts the period.
+  // An entry that is down must not delay the heartbeats to the others, so no
+  // call takes longer than the heartbeat period.
   const auto entries = heartbeatTargets();
   const std::vector<endpoints::Message> messages(
-      entries.size(), endpoints::Announce{info, Incarnation, Leaving, epoch,
+      entries.size(), endpoints::Announce{info, Incarnation, Draining, epoch,
                                           Tasks.unreported()});
   const absl::Time sent = steadyNow();
   SentMessages += static_cast<int64_t>(entries.size());
@@ -92,40 +95,41 @@
       [&](size_t i, const utils::Result<endpoints::Message> &reply) {
         const Ack *ack = reply ? std::get_if<Ack>(&*reply) : nullptr;
         if (ack != nullptr)
-          heed(*ack, entries[i], sent);
+          handleAck(*ack, entries[i], sent);
         else
           logEvent(Event::WorkerHeartbeatFailed,
                    {{"worker", info.Id}, {"entry", entries[i]->address()}});
       });
 }
 
-void AgentService::heed(const Ack &ack,
-                        const std::shared_ptr<endpoints::RequestChannel> &entry,
-                        absl::Time sent) {
+void AgentService::handleAck(
+    const Ack &ack, const std::shared_ptr<endpoints::RequestChannel> &entry,
+    absl::Time sent) {
   absl::MutexLock lock(&Mu);
   if (ack.ConfigVersion > ConfigVersion) {
     ConfigVersion = ack.ConfigVersion;
     logEvent(Event::ProfileInForce, {{"version", ConfigVersion}});
   }
-  // An entry that lost its lease while it was paused still believes that it
-  // leads and answers with its old epoch. The higher epoch wins here, so the
-  // old leader can neither start work nor keep leases alive.
+  // An entry that lost its lease while it was paused still considers itself
+  // leader and answers with its old epoch. The agent follows the highest epoch,
+  // so the previous leader can neither start tasks nor extend leases.
   if (ack.Epoch > 0 && ack.Epoch >= Epoch) {
     Epoch = ack.Epoch;
     Leader = entry;
     LeaderAnswered = true;
-    HeardLeader = sent;
+    LastLeaderContact = sent;
     TaskLeaseMs = static_cast<int>(ack.TaskLeaseMs);
   }
 }
 
-// The entry that leads, on each beat; all of them when it did not answer, when
-// this worker leaves, and every now and then so that a newer leader is heard
-// of even while the old one still answers.
+// Returns the leading entry. Returns all entries if the leader did not answer
+// the previous heartbeat, while this worker drains, and in regular intervals,
+// so that a newer leader is found even while the previous one still answers.
 std::vector<std::shared_ptr<endpoints::RequestChannel>>
 AgentService::heartbeatTargets() {
   absl::MutexLock lock(&Mu);
-  if (!LeaderAnswered || Leaving || ++Beats % BeatsPerRound == 0)
+  if (!LeaderAnswered || Draining ||
+      ++HeartbeatCount % HeartbeatsPerBroadcast == 0)
     return Entries;
   return {Leader};
 }
@@ -135,28 +139,30 @@
   {
     absl::MutexLock lock(&Mu);
     leftMs = static_cast<int>(absl::ToInt64Milliseconds(
-        HeardLeader + absl::Milliseconds(TaskLeaseMs.load()) - steadyNow()));
+        LastLeaderContact + absl::Milliseconds(TaskLeaseMs.load()) -
+        steadyNow()));
   }
-  // A worker cut off from the leading entry is given up there after the same
-  // time, and its gangs start elsewhere: the back end then must have stopped
-  // its tasks, so the lease is only renewed for what is left of that time.
+  // The leading entry declares a disconnected worker lost after the task lease
+  // and restarts its gangs elsewhere. The back end must have stopped its tasks
+  // by then, so the lease is renewed only for the rest of that time.
   if (leftMs > 0 && !Tasks.idle())
     Tasks.recordWatts(backend.hold(leftMs));
 }
 
-void AgentService::clearBackend() {
-  // Tasks of an earlier agent process here may still run on the back end. The
-  // entries take a new incarnation to mean that none does, so this process
-  // announces itself only after the back end confirmed that it stopped them.
+void AgentService::stopLeftoverTasks() {
+  // Tasks of a previous agent process may still run on the back end. Entries
+  // conclude from a new incarnation that no task runs here any more, so this
+  // process announces itself only after the back end confirmed that it stopped
+  // them.
   endpoints::BackendClient backend(Settings.BackendUrl, Settings.Worker.Id,
                                    BackendControlTimeoutMs);
   while (!backend.stopAll() &&
-         !StopNow.WaitForNotificationWithTimeout(RetryPeriod)) {
+         !StopRequested.WaitForNotificationWithTimeout(RetryPeriod)) {
   }
 }
 
-void AgentService::announce() {
-  clearBackend();
+void AgentService::runHeartbeats() {
+  stopLeftoverTasks();
   endpoints::BackendClient backend(Settings.BackendUrl, Settings.Worker.Id,
                                    BackendControlTimeoutMs);
   absl::Time next;
@@ -164,12 +170,12 @@
     next = steadyNow() + absl::Milliseconds(Settings.HeartbeatMs);
     sendToEntries();
     renewLease(backend);
-    // A reservation whose Run never came (the entry died or gave up on the
-    // gang) would hold accelerators for ever; the timeout frees them.
+    // A reservation whose Run message never arrives, because the entry crashed
+    // or abandoned the gang, would occupy accelerators forever.
     for (const std::string &run : Tasks.dropExpired(steadyNow()))
       logEvent(Event::TaskReleased,
                {{"task", run}, {"why", "reservation timed out"}});
-  } while (!StopNow.WaitForNotificationWithTimeout(next - steadyNow()));
+  } while (!StopRequested.WaitForNotificationWithTimeout(next - steadyNow()));
 }
 
 endpoints::Message AgentService::onRequest(const endpoints::Message &message) {
@@ -182,14 +188,16 @@
       },
       message);
   {
-    // Fencing: an entry that was paused past its lease may send work after
-    // another entry took over. Its epoch is lower than the one heard here.
+    // Fencing: an entry that was paused beyond its lease may send requests
+    // after another entry took over. Its epoch is lower than the highest epoch
+    // received here.
     absl::MutexLock lock(&Mu);
     if (epoch < Epoch)
-      return Ack{false, "fenced: another entry leads now", Epoch};
+      return Ack{false, "fenced: another entry is the leader", Epoch};
     Epoch = epoch;
-    // A gang placed under an older profile version than the one in force here
-    // is refused while nothing of it runs; its entry places it anew.
+    // Refuses a gang that was placed under an older profile version than the
+    // one in force here. No member of it runs yet, and its entry places it
+    // again.
     if (const auto *r = std::get_if<endpoints::Reserve>(&message)) {
       if (r->ConfigVersion < ConfigVersion)
         return Ack{false, "placed under an older profile version", Epoch,
@@ -201,7 +209,7 @@
   }
   std::string refusal;
   if (const auto *r = std::get_if<endpoints::Reserve>(&message)) {
-    refusal = Leaving ? "worker is leaving" : Tasks.reserve(*r, steadyNow());
+    refusal = Draining ? "worker is draining" : Tasks.reserve(*r, steadyNow());
     if (refusal.empty())
       logEvent(Event::TaskReserved, {{"task", r->Run}});
   } else if (const auto *run = std::get_if<endpoints::Run>(&message)) {
@@ -212,9 +220,9 @@
                {{"task", run->Run}, {"why", refusal}});
     for (Task &task : started) {
       logEvent(Event::TaskStarted, {{"task", taskName(task.Run, task.Member)}});
-      // Room for as many tasks as there are accelerators, which reservations
-      // never exceed, so the queue cannot be full.
-      Runs.tryPush(std::move(task));
+      // The queue has a slot per accelerator, and reservations never exceed the
+      // accelerators, so it cannot be full.
+      TaskQueue.tryPush(std::move(task));
     }
   } else if (const auto *release = std::get_if<endpoints::Release>(&message)) {
     Tasks.release(release->Run);
@@ -222,11 +230,12 @@
   } else if (const auto *stop = std::get_if<endpoints::Stop>(&message)) {
     logEvent(Event::TaskStopAsked, {{"task", stop->Run}});
     for (int member : Tasks.requestStop(*stop))
-      if (!Results.tryPush({stop->Run, member, Settings.Worker.Id,
-                            endpoints::TaskEnd::Stopped, "did not run", ""}))
-        refusal = "busy; send again";
+      if (!ResultQueue.tryPush({stop->Run, member, Settings.Worker.Id,
+                                endpoints::TaskEnd::Stopped, "did not run",
+                                ""}))
+        refusal = "result queue is full; retry later";
   } else {
-    refusal = "an agent does not take this message";
+    refusal = "agents do not accept this message type";
   }
   return Ack{refusal.empty(), refusal};
 }
@@ -234,9 +243,9 @@
 void AgentService::runTasks() {
   endpoints::BackendClient backend(Settings.BackendUrl, Settings.Worker.Id,
                                    Settings.BackendTimeoutMs);
-  // Blocks until a task comes or the queue is closed and drained: a timed
-  // poll here woke eight threads ten times a second on an idle agent.
-  while (std::optional<Task> task = Runs.pop(absl::InfiniteDuration())) {
+  // Blocks until a task arrives or the queue is closed and empty. Polling with
+  // a timeout would wake eight threads ten times a second on an idle agent.
+  while (std::optional<Task> task = TaskQueue.pop(absl::InfiniteDuration())) {
     const TaskKey key{task->Run, task->Member};
     endpoints::BackendReply reply{endpoints::TaskEnd::Stopped, "did not run",
                                   task->Saved};
@@ -249,10 +258,10 @@
              {{"task", taskName(task->Run, task->Member)},
               {"ok", reply.End == endpoints::TaskEnd::Done},
               {"stopped", reply.End == endpoints::TaskEnd::Stopped}});
-    // The reporter drains this queue continuously; waiting here rather than
-    // dropping keeps every finished task's answer.
-    while (!Results.tryPush({task->Run, task->Member, Settings.Worker.Id,
-                             reply.End, reply.Output, reply.Saved}))
+    // The reporter empties this queue continuously. Waiting for a free slot
+    // instead of dropping the result keeps the result of every finished task.
+    while (!ResultQueue.tryPush({task->Run, task->Member, Settings.Worker.Id,
+                                 reply.End, reply.Output, reply.Saved}))
       absl::SleepFor(RetryPeriod);
   }
 }
@@ -260,21 +269,21 @@
 void AgentService::stopTasks() {
   endpoints::BackendClient backend(Settings.BackendUrl, Settings.Worker.Id,
                                    BackendControlTimeoutMs);
-  // A stop can reach the back end before the task does, or be lost: it is sent
-  // again until the task has ended.
+  // A stop request can arrive at the back end before the task does, or get
+  // lost, so it is repeated until the task has ended.
   for (std::vector<TaskKey> keys = Tasks.awaitStops(RetryPeriod); !keys.empty();
        keys = Tasks.awaitStops(RetryPeriod))
     for (const TaskKey &key : keys)
       backend.stop(key.first, key.second);
 }
 
-void AgentService::report() {
+void AgentService::reportResults() {
   while (std::optional<endpoints::TaskResult> result =
-             Results.pop(absl::InfiniteDuration())) {
+             ResultQueue.pop(absl::InfiniteDuration())) {
     const TaskKey key{result->Run, result->Member};
-    // Until the leading entry took it: only then is the end known there. When
-    // no entry leads, the result waits for the next leader.
-    for (bool taken = false; !taken;) {
+    // Repeats the report until the leading entry acknowledges it. While no
+    // entry leads, the result waits for the next leader.
+    for (bool acknowledged = false; !acknowledged;) {
       std::shared_ptr<endpoints::RequestChannel> leader;
       {
         absl::MutexLock lock(&Mu);
@@ -285,16 +294,17 @@
                                                      EntryCallTimeoutMs);
         ++SentMessages;
         const Ack *ack = reply ? std::get_if<Ack>(&*reply) : nullptr;
-        taken = ack != nullptr && ack->Ok;
+        acknowledged = ack != nullptr && ack->Ok;
       }
-      if (!taken && StopNow.WaitForNotificationWithTimeout(RetryPeriod))
+      if (!acknowledged &&
+          StopRequested.WaitForNotificationWithTimeout(RetryPeriod))
         break;
     }
     Tasks.reported(key);
   }
 }
 
-bool AgentService::waitIdle(absl::Time deadline) {
+bool AgentService::waitUntilIdle(absl::Time deadline) {
   while (!Tasks.idle() && steadyNow() < deadline)
     absl::SleepFor(RetryPeriod);
   return Tasks.idle();
@@ -303,22 +313,22 @@
 void AgentService::stop(absl::Duration drainTimeout) {
   if (Stopping.exchange(true))
     return;
-  Leaving = true;
+  Draining = true;
   logEvent(Event::ProcessStopping, {{"worker", Settings.Worker.Id}});
   sendToEntries();
-  if (!waitIdle(steadyNow() + drainTimeout)) {
+  if (!waitUntilIdle(steadyNow() + drainTimeout)) {
     Tasks.requestStopAll();
-    waitIdle(steadyNow() + CheckpointTimeout);
+    waitUntilIdle(steadyNow() + CheckpointTimeout);
   }
-  StopNow.Notify();
-  // Runners finish what is queued, then the reporter sends their results:
-  // closing the queues in this order loses no finished task's answer.
-  Runs.close();
+  StopRequested.Notify();
+  // The runners finish the queued tasks, then the reporter sends their results.
+  // Closing the queues in this order loses no result of a finished task.
+  TaskQueue.close();
   for (std::thread &t : Runners)
     t.join();
   Tasks.close();
   Stopper.join();
-  Results.close();
+  ResultQueue.close();
   Reporter.join();
   Announcer.join();
   Server->stop();
--- a/src/libs/agent/agentservice.h
+++ b/src/libs/agent/agentservice.h
@@ -18,47 +18,48 @@
 
 namespace oriolebay::agent {
 
-/// The small process beside an endpoint. It announces its worker to every
-/// entry in its settings; it holds reservations, runs each gang member's task
-/// on the endpoint's back end, renews the back end's lease for as long as the
-/// leading entry answers, and reports ends to that entry. Threads: the reply
-/// server (entries' requests), the announcer (heartbeats, leases, reservation
-/// timeouts), one runner per accelerator, the stopper and the reporter.
+/// The process that runs beside an endpoint. It announces its worker to every
+/// entry in its settings, keeps the reservations of that worker, runs each gang
+/// member's task on the endpoint's back end, renews the back end's lease for as
+/// long as the leading entry answers, and reports finished tasks to that entry.
+/// Threads: the reply server (requests from entries), the announcer
+/// (heartbeats, leases, reservation timeouts), one runner per accelerator, the
+/// stopper and the reporter.
 class AgentService {
 public:
   AgentService(settings::AgentSettings settings, int64_t incarnation);
   ~AgentService();
 
-  /// The bound nng address entries send work to.
+  /// The bound nng address that entries send requests to.
   std::string address() const;
 
-  /// Graceful stop: tells the entries this worker is leaving, refuses new
-  /// reservations and lets running tasks finish and report. Tasks that still
-  /// run after drainTimeout are checkpointed and stopped, so that the leading
-  /// entry can start them elsewhere.
+  /// Stops gracefully: notifies the entries that this worker is draining,
+  /// refuses new reservations, and lets running tasks finish and report. Tasks
+  /// that still run after drainTimeout are checkpointed and stopped, so that
+  /// the leading entry can start them on another worker.
   void stop(absl::Duration drainTimeout);
 
-  /// Counters for metrics and the load tool.
+  /// Returns counters for metrics and the load generator.
   nlohmann::json stats() const;
 
 private:
-  /// Used until the leading entry has said how long tasks may run on without
-  /// hearing from it.
+  /// Task lease that is used until the leading entry has sent its own value:
+  /// how long tasks may run without an answer from the leading entry.
   static constexpr int DefaultTaskLeaseMs = 10000;
 
   endpoints::Message onRequest(const endpoints::Message &message);
-  void clearBackend();
-  void announce();
+  void stopLeftoverTasks();
+  void runHeartbeats();
   void sendToEntries();
   std::vector<std::shared_ptr<endpoints::RequestChannel>> heartbeatTargets();
-  void heed(const endpoints::Ack &ack,
-            const std::shared_ptr<endpoints::RequestChannel> &entry,
-            absl::Time sent);
+  void handleAck(const endpoints::Ack &ack,
+                 const std::shared_ptr<endpoints::RequestChannel> &entry,
+                 absl::Time sent);
   void renewLease(endpoints::BackendClient &backend);
   void runTasks();
   void stopTasks();
-  void report();
-  bool waitIdle(absl::Time deadline);
+  void reportResults();
+  bool waitUntilIdle(absl::Time deadline);
 
   const settings::AgentSettings Settings;
   const int64_t Incarnation;
@@ -67,21 +68,21 @@
   std::unique_ptr<endpoints::ReplyServer> Server;
 
   mutable absl::Mutex Mu;
-  /// Highest epoch any entry answered with, and which entry it was.
+  /// Highest epoch that any entry answered with. Leader is that entry.
   int64_t Epoch = 0;
   int64_t ConfigVersion = 0;
   std::shared_ptr<endpoints::RequestChannel> Leader;
   bool LeaderAnswered = false;
-  uint64_t Beats = 0;
-  absl::Time HeardLeader = absl::InfinitePast();
+  uint64_t HeartbeatCount = 0;
+  absl::Time LastLeaderContact = absl::InfinitePast();
   std::atomic<int> TaskLeaseMs{DefaultTaskLeaseMs};
 
-  utils::BoundedQueue<Task> Runs;
-  utils::BoundedQueue<endpoints::TaskResult> Results;
-  std::atomic<bool> Leaving{false};
+  utils::BoundedQueue<Task> TaskQueue;
+  utils::BoundedQueue<endpoints::TaskResult> ResultQueue;
+  std::atomic<bool> Draining{false};
   std::atomic<bool> Stopping{false};
   std::atomic<int64_t> SentMessages{0};
-  absl::Notification StopNow;
+  absl::Notification StopRequested;
   std::thread Announcer;
   std::thread Stopper;
   std::thread Reporter;
--- a/src/libs/agent/latestarts.h
+++ b/src/libs/agent/latestarts.h
@@ -9,22 +9,26 @@
 
 namespace oriolebay::agent {
 
-/// Starts of which a try had no answer: it may be carried out late, also by the
-/// next life of the worker under the same id, and also if another try was
-/// answered and the run has ended since. No threads, clock or sockets.
+/// Tracks starts with an attempt that got no answer. The worker may still carry
+/// out such an attempt late. The next incarnation of the worker under the same
+/// id may do so as well, even if another attempt was answered and the run has
+/// ended since. Uses no threads, clock or sockets.
 class LateStarts {
 public:
+  /// An attempt to start the run got no answer.
   void unanswered(const endpoints::RunId &run, absl::Time now);
-  /// No life carries the run out from now on.
-  void settled(const endpoints::RunId &run) { LastTries.erase(run); }
-  /// No life answers to that id any more.
-  void clear() { LastTries.clear(); }
-  /// Whether the run may still be carried out.
+  /// No incarnation can carry out the run from now on.
+  void settled(const endpoints::RunId &run) { LastAttempts.erase(run); }
+  /// No incarnation uses that worker id any more.
+  void clear() { LastAttempts.clear(); }
+  /// Returns whether a worker may still carry out the run.
   bool isOpen(const endpoints::RunId &run, absl::Time now) const;
+  /// Returns all runs that a worker may still carry out.
   std::vector<endpoints::RunId> open(absl::Time now) const;
 
 private:
-  std::map<endpoints::RunId, absl::Time> LastTries;
+  /// Time of the latest unanswered attempt of each run.
+  std::map<endpoints::RunId, absl::Time> LastAttempts;
 };
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/leaderfinder.cpp
+++ b/src/libs/agent/leaderfinder.cpp
@@ -2,9 +2,9 @@
 
 namespace oriolebay::agent {
 
-std::string LeaderFinder::other() {
+std::string LeaderFinder::nextOtherEntry() {
   for (size_t i = 0; i < Entries.size(); ++i) {
-    const std::string &entry = Entries[Next++ % Entries.size()];
+    const std::string &entry = Entries[NextIndex++ % Entries.size()];
     if (entry != Target)
       return entry;
   }
@@ -12,27 +12,27 @@
 }
 
 std::optional<std::string> LeaderFinder::secondTarget() {
-  if (!Leads || !Doubtful)
+  if (!TargetLeads || !LeaseUnconfirmed)
     return std::nullopt;
-  std::string entry = other();
+  std::string entry = nextOtherEntry();
   if (entry.empty())
     return std::nullopt;
   return entry;
 }
 
 void LeaderFinder::learnEntries(std::vector<std::string> entries) {
-  Misses = 0;
+  ConsecutiveMisses = 0;
   if (entries.empty())
     return;
   Entries = std::move(entries);
-  if (!Leads)
-    Target = Entries[Next++ % Entries.size()];
+  if (!TargetLeads)
+    Target = Entries[NextIndex++ % Entries.size()];
 }
 
-void LeaderFinder::next() {
-  Leads = false;
-  ++Misses;
-  const std::string entry = other();
+void LeaderFinder::selectOtherTarget() {
+  TargetLeads = false;
+  ++ConsecutiveMisses;
+  const std::string entry = nextOtherEntry();
   if (!entry.empty())
     Target = entry;
 }
@@ -41,32 +41,32 @@
                             const endpoints::ReportAck &ack) {
   if (!ack.Entries.empty())
     Entries = ack.Entries;
-  // An entry that lost its lease while it was paused, or cut off from the
-  // store, goes on as leader; the higher epoch wins.
+  // An entry that lost its lease while it was paused or disconnected from the
+  // store still acts as leader. The highest epoch wins.
   if (ack.Epoch > 0 && ack.Epoch >= Epoch) {
     Epoch = ack.Epoch;
     Target = address;
-    Leads = true;
-    Doubtful = ack.Doubtful;
-    Misses = 0;
+    TargetLeads = true;
+    LeaseUnconfirmed = ack.Doubtful;
+    ConsecutiveMisses = 0;
     return true;
   }
   if (ack.LeaderEpoch > Epoch ||
-      (ack.LeaderEpoch == Epoch && !Leads && !ack.Leader.empty() &&
+      (ack.LeaderEpoch == Epoch && !TargetLeads && !ack.Leader.empty() &&
        ack.Leader != Target)) {
-    Leads = false;
-    ++Misses;
+    TargetLeads = false;
+    ++ConsecutiveMisses;
     Target = ack.Leader;
     return false;
   }
   if (address == Target)
-    next();
+    selectOtherTarget();
   return false;
 }
 
 void LeaderFinder::onSilence(const std::string &address) {
   if (address == Target)
-    next();
+    selectOtherTarget();
 }
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/leaderfinder.h
+++ b/src/libs/agent/leaderfinder.h
@@ -8,46 +8,54 @@
 
 namespace oriolebay::agent {
 
-/// Finds the entry that leads from what entries answer: each knows the leader
-/// that the store names. Decides only; its owner sends the reports and reads
-/// the store. Nothing is kept over a restart, and all addresses may change.
+/// Finds the leading entry from the answers of entries, each of which knows the
+/// leader that the store names. This class only decides; its owner sends the
+/// reports and reads the store. It persists nothing across a restart, as all
+/// addresses may change.
 class LeaderFinder {
 public:
-  /// Where the next report goes; empty while no entry is known.
+  /// Address that receives the next report. Empty while no entry is known.
   std::string target() const { return Target; }
-  /// Another entry to report to as well: the one that leads could not confirm
-  /// its lease, so another may lead by now.
+  /// Address of a second entry that receives the report. Set if the leader
+  /// could not confirm its lease, because another entry may lead by then.
   std::optional<std::string> secondTarget();
-  /// The entries known may all be gone: they should be read from the store.
+  /// Returns whether the owner should read the entries from the store, because
+  /// none is known or all known entries may be gone.
   bool wantsEntries() const {
-    return Target.empty() || Misses >= MissesBeforeStore;
+    return Target.empty() || ConsecutiveMisses >= MissesBeforeStoreRead;
   }
+  /// Sets the entries that were read from the store. An empty list keeps the
+  /// known ones.
   void learnEntries(std::vector<std::string> entries);
 
-  /// The answer of the entry at address. True: it leads, with the highest
-  /// epoch known so far.
+  /// Handles the answer of the entry at address. Returns true if that entry
+  /// leads with the highest epoch known so far.
   bool onAnswer(const std::string &address, const endpoints::ReportAck &ack);
-  /// The entry at address did not answer.
+  /// Handles a report to the entry at address that got no answer.
   void onSilence(const std::string &address);
 
-  bool knowsLeader() const { return Leads; }
+  bool knowsLeader() const { return TargetLeads; }
   int64_t epoch() const { return Epoch; }
 
 private:
-  /// After so many answers in a row that do not lead further the store is
-  /// asked.
-  static constexpr int MissesBeforeStore = 3;
+  /// Number of consecutive reports that found no leader before the entries are
+  /// read from the store.
+  static constexpr int MissesBeforeStoreRead = 3;
 
-  void next();
-  std::string other();
+  /// Selects another entry as the target, as the current one does not lead.
+  void selectOtherTarget();
+  /// Returns the next known entry that is not the target, or an empty string.
+  std::string nextOtherEntry();
 
   std::vector<std::string> Entries;
-  size_t Next = 0;
+  size_t NextIndex = 0;
   std::string Target;
   int64_t Epoch = 0;
-  bool Leads = false;
-  bool Doubtful = false;
-  int Misses = 0;
+  /// The entry at Target leads with Epoch.
+  bool TargetLeads = false;
+  /// The leader could not confirm its lease with the store.
+  bool LeaseUnconfirmed = false;
+  int ConsecutiveMisses = 0;
 };
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/startbook.cpp
+++ b/src/libs/agent/startbook.cpp
@@ -13,7 +13,7 @@
 void StartBook::taken(const RunId &run) {
   auto it = Starts.find(run);
   if (it != Starts.end())
-    it->second.Taken = true;
+    it->second.Accepted = true;
 }
 
 void StartBook::listed(const RunId &run) {
@@ -26,7 +26,7 @@
 
 void StartBook::answered(absl::Time now) {
   LastAnswer = now;
-  SilentSince = absl::InfiniteFuture();
+  UnansweredSince = absl::InfiniteFuture();
   std::erase_if(Starts, [now](const auto &entry) {
     const Start &start = entry.second;
     return start.Listed && now - start.FirstSent >= endpoints::CrashShowsWithin;
@@ -34,14 +34,15 @@
 }
 
 void StartBook::unanswered(absl::Time now) {
-  SilentSince = std::min(SilentSince, now);
+  UnansweredSince = std::min(UnansweredSince, now);
 }
 
-// What was sent to a worker that had fallen silent before cannot be why.
+// Starts that were sent after the worker stopped answering cannot have crashed
+// it.
 std::vector<RunId> StartBook::justBegun() const {
   std::vector<RunId> runs;
   for (const auto &[run, start] : Starts)
-    if (start.FirstSent <= SilentSince &&
+    if (start.FirstSent <= UnansweredSince &&
         LastAnswer - start.FirstSent < endpoints::CrashShowsWithin)
       runs.push_back(run);
   return runs;
@@ -50,7 +51,7 @@
 std::vector<RunId> StartBook::mayStillBegin(bool nobodyListens) const {
   std::vector<RunId> runs;
   for (const auto &[run, start] : Starts)
-    if (!start.Listed && !(start.Taken && nobodyListens))
+    if (!start.Listed && !(start.Accepted && nobodyListens))
       runs.push_back(run);
   return runs;
 }
--- a/src/libs/agent/startbook.h
+++ b/src/libs/agent/startbook.h
@@ -9,41 +9,46 @@
 
 namespace oriolebay::agent {
 
-/// The starts sent to one life of a worker, for what is known of them when it
-/// ends without a word. No threads, clock or sockets.
+/// Tracks the starts that were sent to one incarnation of a worker. If that
+/// incarnation ends without notice, it tells which runs may have crashed it and
+/// which may still start. Uses no threads, clock or sockets.
 class StartBook {
 public:
-  /// A start is on its way to the worker, for the first time or again.
+  /// A start is sent to the worker, for the first time or as a retry.
   void sent(const endpoints::RunId &run, absl::Time now);
-  /// The worker, or another life under its id, answered that it has the run.
+  /// The worker, or another incarnation under its id, accepted the run.
   void taken(const endpoints::RunId &run);
-  /// This life listed the run, as running or ended.
+  /// This incarnation listed the run, as running or ended.
   void listed(const endpoints::RunId &run);
-  /// The worker certainly does not have the run.
+  /// The worker certainly did not start the run.
   void neverBegan(const endpoints::RunId &run);
   /// The worker answered a call.
   void answered(absl::Time now);
   /// A call got no answer.
   void unanswered(absl::Time now);
 
-  /// Runs that began, or may have, so shortly before the worker fell silent
-  /// that they may have crashed it.
+  /// Returns the runs that started, or may have started, less than
+  /// endpoints::CrashShowsWithin before the worker stopped answering. They may
+  /// have crashed it.
   std::vector<endpoints::RunId> justBegun() const;
-  /// Runs that this life was not seen to have, and that the next one under its
-  /// id may have or get. What was taken by whom nobody listens for any more is
-  /// gone with it.
+  /// Returns the runs that this incarnation never listed and that the next one
+  /// under its id may have or still receive. If nothing listens at the worker's
+  /// address any more (nobodyListens), the runs that it accepted are excluded,
+  /// because they ended with its process.
   std::vector<endpoints::RunId> mayStillBegin(bool nobodyListens) const;
 
 private:
   struct Start {
     absl::Time FirstSent;
-    bool Taken = false;
+    /// The worker, or another incarnation under its id, accepted the run.
+    bool Accepted = false;
     bool Listed = false;
   };
 
   std::map<endpoints::RunId, Start> Starts;
   absl::Time LastAnswer = absl::InfinitePast();
-  absl::Time SilentSince = absl::InfiniteFuture();
+  /// Time of the first unanswered call since the last answer.
+  absl::Time UnansweredSince = absl::InfiniteFuture();
 };
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/tasktable.cpp
+++ b/src/libs/agent/tasktable.cpp
@@ -5,28 +5,29 @@
 namespace oriolebay::agent {
 
 namespace {
-// Runs that must not start (again) are remembered, the oldest forgotten first.
-// A message that names one can only be as old as the longest call, a few
-// seconds; at a hundred starts a second this covers more than half a minute.
-constexpr size_t RefusedKept = 4096;
+// Maximum number of remembered runs that must not start (again); the oldest are
+// dropped first. A message that names such a run can only be as old as the
+// longest call, which takes a few seconds. At a hundred starts per second this
+// number covers more than half a minute.
+constexpr size_t MaxRefusedRuns = 4096;
 } // namespace
 
 TaskTable::TaskTable(int accelerators, absl::Duration reservationTimeout)
-    : ReservationTimeout(reservationTimeout), Free(accelerators) {}
+    : ReservationTimeout(reservationTimeout), FreeAccelerators(accelerators) {}
 
 std::string TaskTable::reserve(const endpoints::Reserve &message,
                                absl::Time now) {
   absl::MutexLock lock(&Mu);
-  if (Refused.count(message.Run) != 0)
-    return "this run was released or stopped";
-  if (Reserved.count(message.Run) != 0)
+  if (RefusedRuns.count(message.Run) != 0)
+    return "the run was already released or stopped";
+  if (Reservations.count(message.Run) != 0)
     return {};
   const int wanted =
       message.AcceleratorsPerMember * static_cast<int>(message.Members.size());
-  if (Free < wanted)
+  if (FreeAccelerators < wanted)
     return "not enough free accelerators";
-  Free -= wanted;
-  Reserved[message.Run] = Reservation{
+  FreeAccelerators -= wanted;
+  Reservations[message.Run] = Reservation{
       message.Members, message.AcceleratorsPerMember, now + ReservationTimeout};
   return {};
 }
@@ -34,66 +35,66 @@
 std::string TaskTable::start(const endpoints::Run &message,
                              std::vector<Task> &out) {
   absl::MutexLock lock(&Mu);
-  if (Refused.count(message.Run) != 0)
-    return "already started, released or stopped";
-  auto it = Reserved.find(message.Run);
-  if (it == Reserved.end())
+  if (RefusedRuns.count(message.Run) != 0)
+    return "the run was already started, released or stopped";
+  auto it = Reservations.find(message.Run);
+  if (it == Reservations.end())
     return "no reservation for this run";
   for (int member : message.Members) {
-    Tasks[{message.Run, member}] = State{it->second.AcceleratorsPerMember};
+    Tasks[{message.Run, member}] = TaskState{it->second.AcceleratorsPerMember};
     out.push_back(Task{message.Run, message.JobId, member, message.Payload,
                        message.Saved, message.PowerLimitWatts});
   }
-  Reserved.erase(it);
-  refuse(message.Run);
+  Reservations.erase(it);
+  markRefused(message.Run);
   return {};
 }
 
-void TaskTable::refuse(const std::string &run) {
-  if (!Refused.insert(run).second)
+void TaskTable::markRefused(const std::string &run) {
+  if (!RefusedRuns.insert(run).second)
     return;
-  RefusedOrder.push_back(run);
-  if (RefusedOrder.size() > RefusedKept) {
-    Refused.erase(RefusedOrder.front());
-    RefusedOrder.pop_front();
+  RefusalOrder.push_back(run);
+  if (RefusalOrder.size() > MaxRefusedRuns) {
+    RefusedRuns.erase(RefusalOrder.front());
+    RefusalOrder.pop_front();
   }
 }
 
 void TaskTable::release(const std::string &run) {
   absl::MutexLock lock(&Mu);
-  refuse(run);
-  auto it = Reserved.find(run);
-  if (it == Reserved.end())
+  markRefused(run);
+  auto it = Reservations.find(run);
+  if (it == Reservations.end())
     return;
-  Free += it->second.AcceleratorsPerMember *
-          static_cast<int>(it->second.Members.size());
-  Reserved.erase(it);
+  FreeAccelerators += it->second.AcceleratorsPerMember *
+                      static_cast<int>(it->second.Members.size());
+  Reservations.erase(it);
 }
 
 std::vector<int> TaskTable::requestStop(const endpoints::Stop &message) {
   release(message.Run);
   absl::MutexLock lock(&Mu);
-  std::vector<int> absent;
+  std::vector<int> notStarted;
   for (int member : message.Members) {
     auto it = Tasks.find({message.Run, member});
     if (it == Tasks.end())
-      absent.push_back(member);
+      notStarted.push_back(member);
     else
-      it->second.StopAsked = true;
+      it->second.StopRequested = true;
   }
-  return absent;
+  return notStarted;
 }
 
 void TaskTable::requestStopAll() {
   absl::MutexLock lock(&Mu);
   for (auto &[key, task] : Tasks)
-    task.StopAsked = true;
+    task.StopRequested = true;
 }
 
 bool TaskTable::beginRun(const TaskKey &key) {
   absl::MutexLock lock(&Mu);
   auto it = Tasks.find(key);
-  if (it == Tasks.end() || it->second.StopAsked)
+  if (it == Tasks.end() || it->second.StopRequested)
     return false;
   it->second.Running = true;
   return true;
@@ -106,7 +107,7 @@
     return;
   it->second.Running = false;
   it->second.Ended = true;
-  Free += it->second.Accelerators;
+  FreeAccelerators += it->second.Accelerators;
 }
 
 void TaskTable::reported(const TaskKey &key) {
@@ -116,19 +117,20 @@
 
 std::vector<TaskKey> TaskTable::awaitStops(absl::Duration retry) {
   absl::MutexLock lock(&Mu);
-  auto any = [this](bool sent) {
+  auto anyToStop = [this](bool sent) {
     return std::any_of(Tasks.begin(), Tasks.end(), [sent](const auto &t) {
-      return t.second.Running && t.second.StopAsked &&
+      return t.second.Running && t.second.StopRequested &&
              t.second.StopSent == sent;
     });
   };
-  auto ready = [&] { return Closed || any(false); };
+  auto ready = [&] { return Closed || anyToStop(false); };
   std::vector<TaskKey> out;
   while (out.empty() && !Closed) {
-    const bool again = !Mu.AwaitWithTimeout(
-        absl::Condition(&ready), any(true) ? retry : absl::InfiniteDuration());
+    const bool isRetry = !Mu.AwaitWithTimeout(
+        absl::Condition(&ready),
+        anyToStop(true) ? retry : absl::InfiniteDuration());
     for (auto &[key, task] : Tasks)
-      if (task.Running && task.StopAsked && (again || !task.StopSent)) {
+      if (task.Running && task.StopRequested && (isRetry || !task.StopSent)) {
         task.StopSent = true;
         out.push_back(key);
       }
@@ -145,7 +147,7 @@
   std::vector<std::string> dropped;
   {
     absl::MutexLock lock(&Mu);
-    for (const auto &[run, reservation] : Reserved)
+    for (const auto &[run, reservation] : Reservations)
       if (reservation.Expires < now)
         dropped.push_back(run);
   }
@@ -174,7 +176,7 @@
 
 bool TaskTable::idle() const {
   absl::MutexLock lock(&Mu);
-  return Tasks.empty() && Reserved.empty();
+  return Tasks.empty() && Reservations.empty();
 }
 
 int TaskTable::running() const {
--- a/src/libs/agent/tasktable.h
+++ b/src/libs/agent/tasktable.h
@@ -14,7 +14,7 @@
 
 namespace oriolebay::agent {
 
-/// A task handed to a runner.
+/// A task that a runner thread executes.
 struct Task {
   std::string Run;
   std::string JobId;
@@ -24,51 +24,56 @@
   int64_t PowerLimitWatts = 0;
 };
 
-/// A run and a member of it.
+/// The run of a gang and the index of one of its members.
 using TaskKey = std::pair<std::string, int>;
 
-/// What an agent holds for the leading entry: reservations, tasks, and the
-/// runs it must refuse. It decides what may start here; it starts nothing
-/// itself. Safe to share between threads.
+/// The state that an agent keeps for the leading entry: reservations, tasks,
+/// and the runs that it must refuse. Decides which tasks may start on this
+/// worker, but does not start them. Thread-safe.
 class TaskTable {
 public:
   TaskTable(int accelerators, absl::Duration reservationTimeout);
 
-  /// Holds room for the members of a run; an empty string when held, else why
-  /// not. Holding the same run again is not an error.
+  /// Reserves accelerators for the members of a run. Returns an empty string on
+  /// success, else the reason of the refusal. Reserving the same run again is
+  /// not an error.
   std::string reserve(const endpoints::Reserve &message, absl::Time now);
-  /// Turns a reservation into tasks that may start; an empty string and the
-  /// tasks in out, else why not. A run is started at most once, whichever path
-  /// (a late message, a resend, another entry) brings it again.
+  /// Turns a reservation into tasks that can start. Returns an empty string and
+  /// the tasks in out, else the reason of the refusal. A run is started at most
+  /// once, even if a delayed message, a retry or another entry requests it
+  /// again.
   std::string start(const endpoints::Run &message, std::vector<Task> &out);
-  /// Gives back a reservation and refuses the run from now on.
+  /// Frees a reservation and refuses the run from now on.
   void release(const std::string &run);
-  /// Marks members to be stopped. Members that are not here, because they
-  /// never started, come back: their end must be reported as stopped. The run
-  /// is refused from now on.
+  /// Marks members to be stopped. Returns the members that never started on
+  /// this worker; the caller must report them as stopped. The run is refused
+  /// from now on.
   std::vector<int> requestStop(const endpoints::Stop &message);
   /// Marks every task to be stopped.
   void requestStopAll();
 
-  /// A runner takes the task; false when its stop was asked for already.
+  /// Marks the task as running. Returns false if its stop was already
+  /// requested.
   bool beginRun(const TaskKey &key);
-  /// The task ended on the back end; its room is free again.
+  /// Marks the task as ended on the back end and frees its accelerators.
   void endRun(const TaskKey &key);
-  /// The end was reported and taken; nothing is kept of the task.
+  /// Removes a task whose end was reported and acknowledged.
   void reported(const TaskKey &key);
 
-  /// Waits until a running task has to be stopped and returns those not
-  /// returned before; those that have not ended after retry come again. Empty
-  /// once closed.
+  /// Waits until a running task has to be stopped, and returns the tasks that
+  /// were not returned before. Tasks that have not ended after the retry period
+  /// are returned again. Returns an empty list once the table is closed.
   std::vector<TaskKey> awaitStops(absl::Duration retry);
   void close();
 
-  /// Frees reservations that were not run in time; their runs are returned.
+  /// Frees reservations that were not started in time and returns their runs.
   std::vector<std::string> dropExpired(absl::Time now);
   void recordWatts(const std::vector<endpoints::TaskStatus> &measured);
-  /// Tasks whose end has not been reported.
+  /// Returns the tasks whose end has not been reported.
   std::vector<endpoints::TaskStatus> unreported() const;
+  /// Returns whether there are neither tasks nor reservations.
   bool idle() const;
+  /// Returns the number of running tasks.
   int running() const;
 
 private:
@@ -77,25 +82,26 @@
     int AcceleratorsPerMember = 0;
     absl::Time Expires;
   };
-  struct State {
+  struct TaskState {
     int Accelerators = 0;
     bool Running = false;
-    bool StopAsked = false;
+    bool StopRequested = false;
     bool StopSent = false;
     bool Ended = false;
+    /// Last measured draw in watts; -1 if not measured yet.
     int64_t Watts = -1;
   };
 
-  void refuse(const std::string &run);
+  void markRefused(const std::string &run);
 
   const absl::Duration ReservationTimeout;
   mutable absl::Mutex Mu;
-  int Free;
+  int FreeAccelerators;
   bool Closed = false;
-  std::map<std::string, Reservation> Reserved;
-  std::map<TaskKey, State> Tasks;
-  absl::flat_hash_set<std::string> Refused;
-  std::deque<std::string> RefusedOrder;
+  std::map<std::string, Reservation> Reservations;
+  std::map<TaskKey, TaskState> Tasks;
+  absl::flat_hash_set<std::string> RefusedRuns;
+  std::deque<std::string> RefusalOrder;
 };
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -17,26 +17,32 @@
 
 namespace {
 
-/// How long the worker may keep a look open without an end to tell: the leader
-/// judges by the progress that looks show whether a run stands still.
-constexpr int64_t LookWaitMs = 500;
-/// Pause before a worker that did not answer is looked at again.
-constexpr absl::Duration LookAgain = absl::Milliseconds(150);
-/// While the worker lists ends that are not taken note of, it answers each look
-/// at once, so that the agent has to come back for the next end. The first
-/// looks come quickly, as ends come together, and room stands empty until the
-/// leader hears of them. The leader takes note within half a second unless the
-/// store is away; then looks are rare again.
-constexpr absl::Duration LookWithNewEnds = absl::Milliseconds(15);
-constexpr absl::Duration LookWithOldEnds = absl::Milliseconds(100);
-constexpr absl::Duration EndsAreNew = absl::Milliseconds(600);
-/// Looks that may fail in a row before the worker counts as not reachable.
-constexpr int MostFailures = 3;
-constexpr int MostNotThere = 4;
+/// Maximum time for which the worker may delay the answer to a poll while no
+/// run ends. It is bounded because the leader detects stalled runs by the
+/// progress that polls report.
+constexpr int64_t MaxPollWaitMs = 500;
+/// Pause before a worker that did not answer is polled again.
+constexpr absl::Duration PollRetryPause = absl::Milliseconds(150);
+/// While the worker lists ends that the leader has not acknowledged, it answers
+/// each poll at once, so that the agent has to poll again for the next end. The
+/// first polls follow quickly, because several runs often end together and
+/// their capacity stays idle until the leader receives the ends. The leader
+/// acknowledges ends within half a second unless the store is unavailable;
+/// after that time polls are less frequent.
+constexpr absl::Duration PollPauseWithRecentEnds = absl::Milliseconds(15);
+constexpr absl::Duration PollPauseWithOldEnds = absl::Milliseconds(100);
+constexpr absl::Duration RecentEndsPeriod = absl::Milliseconds(600);
+/// Number of consecutive failed polls after which the worker counts as
+/// unreachable.
+constexpr int FailuresUntilUnreachable = 3;
+/// Number of consecutive refused connections after which the worker's process
+/// counts as ended.
+constexpr int RefusalsUntilProcessEnded = 4;
 constexpr int ReportTimeoutMs = 400;
-/// Pause before another entry is tried, and before the store is read again.
-constexpr absl::Duration ReportAgain = absl::Milliseconds(50);
-constexpr absl::Duration AskStoreAgain = absl::Milliseconds(300);
+/// Pauses before the report goes to another entry, and before the store is read
+/// again.
+constexpr absl::Duration ReportRetryPause = absl::Milliseconds(50);
+constexpr absl::Duration StoreReadRetryPause = absl::Milliseconds(300);
 
 int64_t toMs(absl::Time t) {
   return absl::ToInt64Milliseconds(t - absl::UnixEpoch());
@@ -47,22 +53,22 @@
 WorkerAgent::WorkerAgent(utils::EventLoop &loop, platform::Store store,
                          endpoints::Peers peers, endpoints::WorkerCalls worker,
                          settings::NodeSettings settings,
-                         std::string entryPrefix, OnConcluded concluded)
+                         std::string entryPrefix, OnConcluded onCompleted)
     : Loop(loop), Peers(std::move(peers)), Worker(std::move(worker)),
       Settings(std::move(settings)), Time(settings::deriveTiming(Settings)),
       Calls(std::move(store)), EntryPrefix(std::move(entryPrefix)),
-      Concludes(std::move(concluded)) {
+      OrderCompleted(std::move(onCompleted)) {
   Peers.Serve([this, alive = Alive](const Message &m, const auto &respond) {
     if (*alive)
       respond(onMessage(m));
     else
-      respond(endpoints::Ack{false, "this agent has stopped"});
+      respond(endpoints::Ack{false, "this agent is shutting down"});
   });
 }
 
 WorkerAgent::~WorkerAgent() { *Alive = false; }
 
-void WorkerAgent::start() { reportLater(); }
+void WorkerAgent::start() { scheduleReport(); }
 
 AgentStatus WorkerAgent::status() const {
   AgentStatus s;
@@ -77,18 +83,18 @@
   return s;
 }
 
-// ---- Keeping its tasks alive, and looking ----
+// ---- Keep-alive calls: they extend the tasks and poll the worker ----
 
-void WorkerAgent::noteClock(int64_t clockMs) {
-  // The answer may have been on its way for a while: the worker's clock is
-  // then further on than this says, and what is held ends the sooner.
+void WorkerAgent::recordWorkerClock(int64_t clockMs) {
+  // The answer may have been delayed. The worker's clock is then ahead of this
+  // estimate, so tasks that are kept alive expire earlier, never later.
   if (clockMs <= 0)
     return;
   ClockOffset = clockMs - toMs(Loop.now());
-  Sent.answered(Loop.now());
+  SentStarts.answered(Loop.now());
 }
 
-int64_t WorkerAgent::untilMs() const {
+int64_t WorkerAgent::keepAliveUntilMs() const {
   if (!ClockOffset || GrantEnd <= Loop.now())
     return 0;
   const absl::Time latest =
@@ -96,109 +102,114 @@
   return toMs(std::min(GrantEnd, latest)) + *ClockOffset;
 }
 
-void WorkerAgent::hold(int64_t waitMs) {
+void WorkerAgent::sendKeepAlive(int64_t waitMs) {
   if (State.Life.empty())
     return;
-  const endpoints::HoldCall call = holdCall(waitMs);
-  const uint64_t number = ++HoldsSent;
-  ++HoldsOut;
-  Worker.Hold(call, [this, alive = Alive, number, life = State.Life,
+  const endpoints::HoldCall call = makeKeepAliveCall(waitMs);
+  const uint64_t number = ++KeepAlivesSent;
+  ++KeepAlivesInFlight;
+  Worker.Hold(call, [this, alive = Alive, number, incarnation = State.Life,
                      epoch = Epoch](const HoldReply &reply) {
-    if (!*alive || life != State.Life)
+    if (!*alive || incarnation != State.Life)
       return;
-    --HoldsOut;
-    onHeld(number, epoch, reply);
+    --KeepAlivesInFlight;
+    onKeepAliveReply(number, epoch, reply);
   });
 }
 
-endpoints::HoldCall WorkerAgent::holdCall(int64_t waitMs) const {
+endpoints::HoldCall WorkerAgent::makeKeepAliveCall(int64_t waitMs) const {
   endpoints::HoldCall call;
   call.Life = State.Life;
-  call.UntilMs = untilMs();
+  call.UntilMs = keepAliveUntilMs();
   call.Epoch = Epoch;
-  // A look may reach the next life under the same id, whose ends count anew: it
-  // says up to which number they can be forgotten only while there are some,
-  // and does not wait then.
-  const bool canForget = OldestEnd != 0 && OldestEnd <= SeenUpto;
+  // The call may reach the next incarnation under the same id, which numbers
+  // its ends from the start again. Therefore the call acknowledges ends only
+  // while the worker lists some that are recorded, and does not wait in that
+  // case.
+  const bool canForget = OldestEndNumber != 0 && OldestEndNumber <= SeenUpto;
   call.SeenUpto = canForget ? SeenUpto : 0;
   call.WaitMs = canForget ? 0 : waitMs;
   return call;
 }
 
-void WorkerAgent::holdLater(absl::Duration delay) {
-  if (HoldQueued)
+void WorkerAgent::scheduleKeepAlive(absl::Duration delay) {
+  if (KeepAliveQueued)
     return;
-  HoldQueued = true;
+  KeepAliveQueued = true;
   Loop.runAfter(delay, [this, alive = Alive] {
     if (!*alive)
       return;
-    HoldQueued = false;
-    if (HoldsOut == 0)
-      hold(Stopped.empty() ? LookWaitMs : 0);
+    KeepAliveQueued = false;
+    if (KeepAlivesInFlight == 0)
+      sendKeepAlive(UnconfirmedStops.empty() ? MaxPollWaitMs : 0);
   });
 }
 
-void WorkerAgent::onHeld(uint64_t number, int64_t epoch,
-                         const HoldReply &reply) {
+void WorkerAgent::onKeepAliveReply(uint64_t number, int64_t epoch,
+                                   const HoldReply &reply) {
   const CallOutcome &outcome = reply.Outcome;
-  if (isOther(outcome, State.Life)) {
-    endLife("another life answered", EndSign::OtherLife);
+  if (isOtherIncarnation(outcome, State.Life)) {
+    endIncarnation("another incarnation answered", EndReason::Superseded);
     return;
   }
-  // A process that listened here has ended. A few in a row, so that a moment
-  // without a listener is not taken for it.
-  NotThere = outcome.Status == CallStatus::NotThere ? NotThere + 1 : 0;
+  // If nothing listens at the worker's address, its process has ended. Several
+  // consecutive refusals are required, because a listener may be missing for a
+  // moment.
+  RefusedConnections =
+      outcome.Status == CallStatus::NotThere ? RefusedConnections + 1 : 0;
   if (outcome.Status != CallStatus::Ok)
-    Sent.unanswered(Loop.now());
-  if (NotThere >= MostNotThere) {
-    endLife("nothing listens at its address", EndSign::NobodyListens);
+    SentStarts.unanswered(Loop.now());
+  if (RefusedConnections >= RefusalsUntilProcessEnded) {
+    endIncarnation("nothing listens at its address",
+                   EndReason::ConnectionRefused);
     return;
   }
   if (outcome.Status != CallStatus::Ok) {
-    notReached(outcome.Detail);
-    holdLater(LookAgain);
+    recordFailedPoll(outcome.Detail);
+    scheduleKeepAlive(PollRetryPause);
     return;
   }
-  noteClock(outcome.ClockMs);
-  HoldFailures = 0;
-  bool news = !Reachable;
+  recordWorkerClock(outcome.ClockMs);
+  ConsecutivePollFailures = 0;
+  bool changed = !Reachable;
   if (!Reachable)
     logEvent(Event::WorkerReachable, {{"worker", State.Life.Id}});
   Reachable = true;
-  // Answers on different connections overtake each other.
-  if (number > HoldsTaken) {
-    HoldsTaken = number;
-    Listed = true;
+  // Answers on different connections can arrive out of order.
+  if (number > LastAppliedKeepAlive) {
+    LastAppliedKeepAlive = number;
+    ListsReceived = true;
     ListedAt = Loop.now();
-    news |= epoch > ListedEpoch || reply.Ended != Ended ||
-            reply.Running.size() != Running.size();
+    changed |= epoch > ListedEpoch || reply.Ended != Ended ||
+               reply.Running.size() != Running.size();
     Running = reply.Running;
     for (const endpoints::RunningTask &r : Running)
-      Sent.listed({r.Task, r.Run});
+      SentStarts.listed({r.Task, r.Run});
     for (const endpoints::EndedTask &e : reply.Ended)
-      Sent.listed({e.Task, e.Run});
+      SentStarts.listed({e.Task, e.Run});
     if (!reply.Ended.empty() && reply.Ended != Ended)
-      EndedAt = Loop.now();
+      EndsChangedAt = Loop.now();
     Ended = reply.Ended;
-    OldestEnd = Ended.empty() ? 0 : Ended.front().Number;
+    OldestEndNumber = Ended.empty() ? 0 : Ended.front().Number;
     ListedEpoch = epoch;
-    settleStops(number);
+    resolveStops(number);
   }
-  if (news)
+  if (changed)
     reportSoon();
-  // The worker answers at once while it has ends to tell that were not taken
-  // note of; the leader's answer starts the next look.
-  holdLater(pauseBeforeLook());
+  // While the worker lists ends that are not acknowledged, it answers each poll
+  // at once. The answer of the leader starts the next poll in that case.
+  scheduleKeepAlive(pauseBeforePoll());
 }
 
-absl::Duration WorkerAgent::pauseBeforeLook() const {
+absl::Duration WorkerAgent::pauseBeforePoll() const {
   if (Ended.empty())
     return absl::ZeroDuration();
-  return Loop.now() - EndedAt < EndsAreNew ? LookWithNewEnds : LookWithOldEnds;
+  return Loop.now() - EndsChangedAt < RecentEndsPeriod ? PollPauseWithRecentEnds
+                                                       : PollPauseWithOldEnds;
 }
 
-void WorkerAgent::notReached(const std::string &why) {
-  if (++HoldFailures < MostFailures || !Reachable)
+void WorkerAgent::recordFailedPoll(const std::string &why) {
+  if (++ConsecutivePollFailures < FailuresUntilUnreachable || !Reachable)
     return;
   Reachable = false;
   logEvent(Event::WorkerUnreachable, {{"worker", State.Life.Id}, {"why", why}});
@@ -207,22 +218,22 @@
 
 // ---- Reports ----
 
-void WorkerAgent::reportLater() {
+void WorkerAgent::scheduleReport() {
   Loop.runAfter(Time.ReportEvery, [this, alive = Alive] {
     if (!*alive)
       return;
-    noteGrantEnd();
+    logGrantEnd();
     report();
-    reportLater();
+    scheduleReport();
   });
 }
 
-void WorkerAgent::noteGrantEnd() {
+void WorkerAgent::logGrantEnd() {
   const bool ended = GrantEnd <= Loop.now();
-  if (ended && !GrantEndTold && GrantEnd != absl::InfinitePast())
+  if (ended && !GrantEndLogged && GrantEnd != absl::InfinitePast())
     logEvent(Event::GrantEnded,
              {{"worker", State.Life.Id}, {"running", Running.size()}});
-  GrantEndTold = ended;
+  GrantEndLogged = ended;
 }
 
 void WorkerAgent::reportSoon() {
@@ -237,24 +248,24 @@
 
 void WorkerAgent::report() {
   ReportQueued = false;
-  // A life is reported once it has been looked at; before that its lists
-  // would seem empty.
-  if (!State.Life.empty() && !Listed)
+  // An incarnation is reported only after its lists were received. Before that
+  // they would appear empty.
+  if (!State.Life.empty() && !ListsReceived)
     return;
   if (Leader.wantsEntries())
-    askStore();
+    readEntriesFromStore();
   if (Leader.target().empty())
     return;
   endpoints::WorkerReport message;
   message.Agent = Settings.Name;
   message.AgentAddress = Peers.Address;
   message.Worker = State;
-  const int64_t age = absl::ToInt64Milliseconds(Loop.now() - BeatAt);
+  const int64_t age = absl::ToInt64Milliseconds(Loop.now() - LastHeartbeatAt);
   message.Worker.RemainingMs = std::max(int64_t{0}, State.RemainingMs - age);
-  message.EndedLives = EndedLives;
+  message.EndedLives = EndedIncarnations;
   message.Reachable = Reachable;
   message.Epoch = ListedEpoch;
-  if (Listed)
+  if (ListsReceived)
     message.ListedMsAgo = absl::ToInt64Milliseconds(Loop.now() - ListedAt);
   message.Speed = Speed;
   message.Running = Running;
@@ -271,27 +282,28 @@
                              const endpoints::WorkerReport &message) {
   Peers.Call(address, message, ReportTimeoutMs,
              [this, alive = Alive, address, sent = Loop.now(),
-              life = State.Life, results = FirstResult + Results.size()](
+              incarnation = State.Life,
+              resultsEnd = FirstResultNumber + Results.size()](
                  const std::optional<Message> &reply) {
                if (!*alive)
                  return;
                const auto *ack =
                    reply ? std::get_if<endpoints::ReportAck>(&*reply) : nullptr;
                if (ack == nullptr)
-                 onReportSilence(address);
-               else if (life == State.Life)
-                 onReportAnswer(address, *ack, sent, results);
+                 onReportUnanswered(address);
+               else if (incarnation == State.Life)
+                 onReportAck(address, *ack, sent, resultsEnd);
              });
 }
 
-void WorkerAgent::onReportSilence(const std::string &address) {
+void WorkerAgent::onReportUnanswered(const std::string &address) {
   if (Leader.knowsLeader() && address == Leader.target())
     logEvent(Event::LeaderUnreachable, {{"leader", address}});
   Leader.onSilence(address);
-  reportAgain(ReportAgain);
+  reportAfter(ReportRetryPause);
 }
 
-void WorkerAgent::reportAgain(absl::Duration delay) {
+void WorkerAgent::reportAfter(absl::Duration delay) {
   Loop.runAfter(delay, [this, alive = Alive] {
     if (*alive)
       reportSoon();
@@ -299,7 +311,7 @@
 }
 
 std::vector<std::string>
-WorkerAgent::addressesIn(const platform::StorePage &page) {
+WorkerAgent::parseEntryAddresses(const platform::StorePage &page) {
   std::vector<std::string> addresses;
   for (const platform::KeyValue &item : page.Items)
     utils::handle<bool>(
@@ -316,42 +328,43 @@
   return addresses;
 }
 
-// A stale answer will do: an entry that has gone does not answer, and those
-// that do know the others.
-void WorkerAgent::askStore() {
-  if (AskingStore)
+// A stale read is sufficient: entries that are gone do not answer, and those
+// that answer know the other entries.
+void WorkerAgent::readEntriesFromStore() {
+  if (ReadingEntries)
     return;
-  AskingStore = true;
-  Calls.Range(EntryPrefix, "", platform::ReadMode::MaybeStale,
-              [this, alive = Alive](
-                  const platform::StoreReply<platform::StorePage> &reply) {
-                if (!*alive)
-                  return;
-                std::vector<std::string> entries = addressesIn(reply.Value);
-                const bool found = !entries.empty();
-                Leader.learnEntries(std::move(entries));
-                Loop.runAfter(found ? absl::ZeroDuration() : AskStoreAgain,
-                              [this, alive] {
-                                if (!*alive)
-                                  return;
-                                AskingStore = false;
-                                reportSoon();
-                              });
-              });
+  ReadingEntries = true;
+  Calls.Range(
+      EntryPrefix, "", platform::ReadMode::MaybeStale,
+      [this,
+       alive = Alive](const platform::StoreReply<platform::StorePage> &reply) {
+        if (!*alive)
+          return;
+        std::vector<std::string> entries = parseEntryAddresses(reply.Value);
+        const bool found = !entries.empty();
+        Leader.learnEntries(std::move(entries));
+        Loop.runAfter(found ? absl::ZeroDuration() : StoreReadRetryPause,
+                      [this, alive] {
+                        if (!*alive)
+                          return;
+                        ReadingEntries = false;
+                        reportSoon();
+                      });
+      });
 }
 
-void WorkerAgent::onReportAnswer(const std::string &address,
-                                 const endpoints::ReportAck &ack,
-                                 absl::Time sent, uint64_t results) {
-  const bool knew = Leader.knowsLeader();
-  const std::string before = Leader.target();
+void WorkerAgent::onReportAck(const std::string &address,
+                              const endpoints::ReportAck &ack, absl::Time sent,
+                              uint64_t resultsEnd) {
+  const bool knewLeader = Leader.knowsLeader();
+  const std::string previousTarget = Leader.target();
   const bool leads = Leader.onAnswer(address, ack);
   if (!leads) {
-    if (Leader.target() != before || !Leader.knowsLeader())
-      reportAgain(knew ? absl::ZeroDuration() : ReportAgain);
+    if (Leader.target() != previousTarget || !Leader.knowsLeader())
+      reportAfter(knewLeader ? absl::ZeroDuration() : ReportRetryPause);
     return;
   }
-  if (!knew || before != address)
+  if (!knewLeader || previousTarget != address)
     logEvent(Event::LeaderFollowed,
              {{"leader", address}, {"epoch", ack.Epoch}});
   const bool newEpoch = ack.Epoch > Epoch;
@@ -359,32 +372,34 @@
   if (ack.GrantMs > 0)
     GrantEnd = std::max(GrantEnd, sent + absl::Milliseconds(ack.GrantMs));
   Speed = ack.Speed;
-  const bool seenMore = ack.SeenUpto > SeenUpto;
+  const bool moreEndsRecorded = ack.SeenUpto > SeenUpto;
   SeenUpto = std::max(SeenUpto, ack.SeenUpto);
   Ended.erase(std::remove_if(Ended.begin(), Ended.end(),
                              [this](const endpoints::EndedTask &e) {
                                return e.Number <= SeenUpto;
                              }),
               Ended.end());
-  // Answers overtake each other: only what this report carried is dropped.
-  for (; FirstResult < results && !Results.empty(); ++FirstResult)
+  // Answers can arrive out of order, so only the results that this report
+  // contained are dropped.
+  for (; FirstResultNumber < resultsEnd && !Results.empty();
+       ++FirstResultNumber)
     Results.erase(Results.begin());
-  // The worker has to see the new fencing token before its lists say anything
-  // to the new leader.
-  if (newEpoch || (seenMore && HoldsOut == 0))
-    hold(0);
+  // The worker has to receive the new fencing token before the new leader can
+  // rely on its lists.
+  if (newEpoch || (moreEndsRecorded && KeepAlivesInFlight == 0))
+    sendKeepAlive(0);
 }
 
 void WorkerAgent::stop(std::function<void()> done) {
-  if (StopAsked)
+  if (StopRequested)
     return;
-  StopAsked = true;
+  StopRequested = true;
   logEvent(Event::ProcessStopping, {{"worker", State.Life.Id}});
   if (State.Life.empty()) {
     done();
     return;
   }
-  Worker.Hold(holdCall(0),
+  Worker.Hold(makeKeepAliveCall(0),
               [done = std::move(done)](const HoldReply &) { done(); });
 }
 
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -25,44 +25,47 @@
 
 namespace oriolebay::agent {
 
-/// What an agent knows at this moment, for metrics and operators.
+/// Current state of an agent, for metrics and operators.
 struct AgentStatus {
   bool Reachable = false;
   bool Draining = false;
   bool KnowsLeader = false;
   int64_t LeaderEpoch = 0;
   size_t Running = 0;
-  /// Ends that the leader has not taken note of.
+  /// Number of ended runs that the leader has not acknowledged.
   size_t EndsOpen = 0;
-  /// For how long it may keep its tasks alive; zero when no longer.
+  /// Time in seconds for which the agent may still keep its tasks alive; zero
+  /// if the grant has expired.
   double GrantLeftSeconds = 0;
 };
 
-/// The process beside a worker. It takes the worker's heartbeats, keeps the
-/// worker's tasks alive for as long as the leader grants it, watches for ends,
-/// carries out the leader's orders and reports all of it to the leader. It
-/// keeps nothing: a new agent finds all with one look at its worker. Owned by
-/// one event loop.
+/// The process that runs beside a worker. It receives the worker's heartbeats,
+/// keeps the worker's tasks alive for as long as the leader grants it, polls
+/// the worker for ended runs, carries out the leader's orders and reports all
+/// of this to the leader. It persists nothing: a new agent learns the state
+/// with one keep-alive call to its worker. Owned by one event loop.
 class WorkerAgent {
 public:
-  /// An order has its outcome; for counting.
+  /// Called with the outcome of each order, for counting.
   using OnConcluded = std::function<void(const endpoints::OrderResult &)>;
 
   WorkerAgent(utils::EventLoop &loop, platform::Store store,
               endpoints::Peers peers, endpoints::WorkerCalls worker,
               settings::NodeSettings settings, std::string entryPrefix,
-              OnConcluded concluded = {});
+              OnConcluded onCompleted = {});
   ~WorkerAgent();
   WorkerAgent(const WorkerAgent &) = delete;
   WorkerAgent &operator=(const WorkerAgent &) = delete;
 
   void start();
-  /// The worker announced itself. True: it may be told that it was heard.
-  bool onHeartbeat(const endpoints::Heartbeat &beat);
-  /// That life of the worker says that it has ended.
-  void onLeave(const endpoints::WorkerLife &life);
-  /// Planned stop: tasks are held as long as granted, so that they outlive the
-  /// change to the next process. Done is called when this one may end.
+  /// Handles a heartbeat of the worker. Returns true if the heartbeat can be
+  /// acknowledged.
+  bool onHeartbeat(const endpoints::Heartbeat &heartbeat);
+  /// Handles the message of a worker incarnation that it has ended.
+  void onLeave(const endpoints::WorkerLife &incarnation);
+  /// Stops as planned: the tasks are kept alive for as long as granted, so that
+  /// they survive the change to the next agent process. Calls done when this
+  /// process can end.
   void stop(std::function<void()> done);
   AgentStatus status() const;
 
@@ -74,53 +77,56 @@
   endpoints::Message onMessage(const endpoints::Message &message);
   endpoints::Ack onOrders(const endpoints::WorkerOrders &orders);
 
-  static bool isOther(const endpoints::CallOutcome &outcome,
-                      const endpoints::WorkerLife &life);
-  void takeHeartbeat(const endpoints::Heartbeat &beat);
-  void tryLife(const endpoints::Heartbeat &beat);
-  void adoptLife(const endpoints::Heartbeat &beat);
-  /// How it shows that the life which is served is over.
-  enum class EndSign { SaidSo, NobodyListens, OtherLife };
-  void endLife(const std::string &why, EndSign sign);
-  void settleLateStarts(const endpoints::WorkerLife &ended);
-  void settleLateStart(const endpoints::WorkerLife &ended,
-                       const endpoints::RunId &run);
-  void noteEnded(endpoints::LifeEnd end);
-  void noteIgnored(const endpoints::Heartbeat &beat);
-  bool hasEnded(const endpoints::WorkerLife &life) const;
-  void forgetEnd(const endpoints::WorkerLife &life);
-
-  void hold(int64_t waitMs);
-  endpoints::HoldCall holdCall(int64_t waitMs) const;
-  void holdLater(absl::Duration delay);
-  void onHeld(uint64_t number, int64_t epoch,
-              const endpoints::HoldReply &reply);
-  absl::Duration pauseBeforeLook() const;
-  void notReached(const std::string &why);
-  void noteClock(int64_t clockMs);
-  int64_t untilMs() const;
+  static bool isOtherIncarnation(const endpoints::CallOutcome &outcome,
+                                 const endpoints::WorkerLife &incarnation);
+  /// Applies a heartbeat of the served incarnation.
+  void applyHeartbeat(const endpoints::Heartbeat &heartbeat);
+  /// Calls the worker to check whether the incarnation of the heartbeat is the
+  /// current one, and serves it if it is.
+  void probeIncarnation(const endpoints::Heartbeat &heartbeat);
+  void beginIncarnation(const endpoints::Heartbeat &heartbeat);
+  /// How the agent learned that the served incarnation has ended.
+  enum class EndReason { Deregistered, ConnectionRefused, Superseded };
+  void endIncarnation(const std::string &why, EndReason reason);
+  void resolveUnansweredStarts(const endpoints::WorkerLife &ended);
+  void resolveUnansweredStart(const endpoints::WorkerLife &ended,
+                              const endpoints::RunId &run);
+  void recordEnd(endpoints::LifeEnd end);
+  void logIgnoredHeartbeat(const endpoints::Heartbeat &heartbeat);
+  bool hasEnded(const endpoints::WorkerLife &incarnation) const;
+  void removeEnd(const endpoints::WorkerLife &incarnation);
+
+  void sendKeepAlive(int64_t waitMs);
+  endpoints::HoldCall makeKeepAliveCall(int64_t waitMs) const;
+  void scheduleKeepAlive(absl::Duration delay);
+  void onKeepAliveReply(uint64_t number, int64_t epoch,
+                        const endpoints::HoldReply &reply);
+  absl::Duration pauseBeforePoll() const;
+  void recordFailedPoll(const std::string &why);
+  void recordWorkerClock(int64_t clockMs);
+  int64_t keepAliveUntilMs() const;
 
   void startTask(const OrderPtr &order);
   void onStarted(const OrderPtr &order, const endpoints::CallOutcome &outcome);
   void stopTask(const OrderPtr &order);
   void onStopped(const OrderPtr &order, const endpoints::CallOutcome &outcome);
-  void settleStops(uint64_t holdNumber);
-  void conclude(const RunKey &run, endpoints::OrderOutcome outcome,
-                const std::string &detail);
+  void resolveStops(uint64_t callNumber);
+  void completeOrder(const RunKey &run, endpoints::OrderOutcome outcome,
+                     const std::string &detail);
 
   void reportSoon();
   void report();
-  void reportLater();
+  void scheduleReport();
   void sendReport(const std::string &address,
                   const endpoints::WorkerReport &message);
-  void onReportAnswer(const std::string &address,
-                      const endpoints::ReportAck &ack, absl::Time sent,
-                      uint64_t results);
-  void onReportSilence(const std::string &address);
-  void reportAgain(absl::Duration delay);
-  void noteGrantEnd();
-  void askStore();
-  static std::vector<std::string> addressesIn(const platform::StorePage &page);
+  void onReportAck(const std::string &address, const endpoints::ReportAck &ack,
+                   absl::Time sent, uint64_t resultsEnd);
+  void onReportUnanswered(const std::string &address);
+  void reportAfter(absl::Duration delay);
+  void logGrantEnd();
+  void readEntriesFromStore();
+  static std::vector<std::string>
+  parseEntryAddresses(const platform::StorePage &page);
 
   utils::EventLoop &Loop;
   const endpoints::Peers Peers;
@@ -130,66 +136,79 @@
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   const platform::Store Calls;
   const std::string EntryPrefix;
-  const OnConcluded Concludes;
+  const OnConcluded OrderCompleted;
   LeaderFinder Leader;
-  bool AskingStore = false;
+  bool ReadingEntries = false;
 
-  /// The worker's life that is served; an empty Life when none is known.
+  /// The worker incarnation that is served; Life is empty if none is known.
   endpoints::WorkerState State;
-  int64_t LastBeat = 0;
-  absl::Time BeatAt;
-  /// The latest lives that are over, the newest last.
-  std::vector<endpoints::LifeEnd> EndedLives;
-  /// Those of them whose heartbeats still came.
-  std::set<endpoints::WorkerLife> IgnoredLives;
-  endpoints::WorkerLife TryingLife;
-  /// Worker clock less boot clock, in milliseconds, as of the last answer.
+  int64_t LastHeartbeatSequence = 0;
+  absl::Time LastHeartbeatAt;
+  /// The latest incarnations that have ended, the newest last.
+  std::vector<endpoints::LifeEnd> EndedIncarnations;
+  /// Ended incarnations whose heartbeats were ignored. Only the first one of
+  /// each is logged.
+  std::set<endpoints::WorkerLife> IgnoredIncarnations;
+  /// Incarnation that is being probed; empty if none.
+  endpoints::WorkerLife ProbedIncarnation;
+  /// Worker clock minus boot clock in milliseconds, as of the last answer.
   std::optional<int64_t> ClockOffset;
 
   int64_t Epoch = 0;
+  /// Until when the leader lets this agent keep the worker's tasks alive.
   absl::Time GrantEnd = absl::InfinitePast();
-  bool GrantEndTold = false;
+  bool GrantEndLogged = false;
+  /// Number up to which the leader has recorded ends of this incarnation.
   int64_t SeenUpto = 0;
   endpoints::LearnedSpeed Speed;
 
-  // What the worker listed last.
+  // The lists of the worker's last answer.
   std::vector<endpoints::RunningTask> Running;
   std::vector<endpoints::EndedTask> Ended;
   absl::Time ListedAt = absl::InfinitePast();
-  /// Number of the first end that the worker has not forgotten; zero: none.
-  int64_t OldestEnd = 0;
-  /// When the list of ends last became another one.
-  absl::Time EndedAt = absl::InfinitePast();
+  /// Number of the first end that the worker still lists; zero if none.
+  int64_t OldestEndNumber = 0;
+  /// When the list of ends last changed.
+  absl::Time EndsChangedAt = absl::InfinitePast();
+  /// Epoch that the worker knew when it listed its tasks.
   int64_t ListedEpoch = 0;
-  uint64_t HoldsSent = 0;
-  uint64_t HoldsTaken = 0;
-  int HoldsOut = 0;
-  int HoldFailures = 0;
-  int NotThere = 0;
-  bool HoldQueued = false;
+  /// Number of the last keep-alive call.
+  uint64_t KeepAlivesSent = 0;
+  /// Highest number of a keep-alive call whose answer was applied.
+  uint64_t LastAppliedKeepAlive = 0;
+  int KeepAlivesInFlight = 0;
+  /// Consecutive keep-alive calls that failed.
+  int ConsecutivePollFailures = 0;
+  /// Consecutive keep-alive calls whose connection was refused.
+  int RefusedConnections = 0;
+  bool KeepAliveQueued = false;
   bool Reachable = false;
-  /// This life has been looked at.
-  bool Listed = false;
-
-  /// Starts that this life was sent.
-  StartBook Sent;
-  /// Outlives lives, as they may share an id.
-  LateStarts Late;
-  /// Orders that are being carried out.
-  std::map<RunKey, OrderPtr> Starting;
-  std::map<RunKey, OrderPtr> StoppingRuns;
-  /// Runs stopped, by the number of the first hold that was sent after.
-  std::map<RunKey, uint64_t> Stopped;
-  /// What starts came to, for orders that are sent again.
-  std::map<RunKey, endpoints::OrderResult> Concluded;
-  std::deque<RunKey> ConcludedOrder;
-  /// Results that the leader has not confirmed, and the number of the first.
+  /// The lists of this incarnation have been received.
+  bool ListsReceived = false;
+
+  /// Starts that were sent to this incarnation.
+  StartBook SentStarts;
+  /// Starts without an answer. Kept across incarnations, as they may share an
+  /// id.
+  LateStarts UnansweredTries;
+  /// Starts and stops that are being carried out.
+  std::map<RunKey, OrderPtr> StartsInProgress;
+  std::map<RunKey, OrderPtr> StopsInProgress;
+  /// Stopped runs that the worker's lists have not confirmed yet, with the
+  /// number of the first keep-alive call that was sent after the stop.
+  std::map<RunKey, uint64_t> UnconfirmedStops;
+  /// Outcomes of completed orders, to answer orders that are sent again.
+  std::map<RunKey, endpoints::OrderResult> CompletedOrders;
+  std::deque<RunKey> CompletionOrder;
+  /// Results that the leader has not acknowledged. FirstResultNumber is the
+  /// number of the first.
   std::vector<endpoints::OrderResult> Results;
-  uint64_t FirstResult = 0;
+  uint64_t FirstResultNumber = 0;
 
+  /// Sequence number of the last report.
   int64_t LastSequence = 0;
   bool ReportQueued = false;
-  bool StopAsked = false;
+  bool StopRequested = false;
 };
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/workeragent_life.cpp
+++ b/src/libs/agent/workeragent_life.cpp
@@ -1,5 +1,6 @@
-// Which life of the worker is served: lives begin with a heartbeat and end with
-// word, silence or another life.
+// Selects the worker incarnation that the agent serves. An incarnation begins
+// with a heartbeat. It ends when the worker deregisters, when nothing listens
+// at its address any more, or when another incarnation answers.
 #include "workeragent.h"
 
 #include "eventlog/eventlog.h"
@@ -20,48 +21,51 @@
 
 namespace {
 
-/// Ended lives remembered, so that late messages find them.
-constexpr size_t MostEndedLives = 8;
-/// Pause before the next life is told again what it must refuse.
-constexpr absl::Duration SettleAgain = absl::Milliseconds(60);
+/// Number of ended incarnations that are remembered to recognise their delayed
+/// messages.
+constexpr size_t MaxEndedIncarnations = 8;
+/// Pause before the next incarnation receives the stop of an unanswered start
+/// again.
+constexpr absl::Duration ResolveRetryPause = absl::Milliseconds(60);
 
 } // namespace
 
-// A worker may start again under its id: what was meant for another life, and
-// only the time of its birth tells.
-bool WorkerAgent::isOther(const CallOutcome &outcome, const WorkerLife &life) {
+// A worker may restart under the same id. Only the start time tells whether an
+// answer comes from another incarnation than the one that was called.
+bool WorkerAgent::isOtherIncarnation(const CallOutcome &outcome,
+                                     const WorkerLife &incarnation) {
   if (outcome.Status == CallStatus::OtherLife)
     return true;
-  return outcome.BornMs != 0 && life.BornMs != 0 &&
-         outcome.BornMs != life.BornMs;
+  return outcome.BornMs != 0 && incarnation.BornMs != 0 &&
+         outcome.BornMs != incarnation.BornMs;
 }
 
-bool WorkerAgent::onHeartbeat(const Heartbeat &beat) {
-  if (beat.Worker.Life == State.Life)
-    takeHeartbeat(beat);
-  else if (hasEnded(beat.Worker.Life) && !State.Life.empty())
-    noteIgnored(beat);
+bool WorkerAgent::onHeartbeat(const Heartbeat &heartbeat) {
+  if (heartbeat.Worker.Life == State.Life)
+    applyHeartbeat(heartbeat);
+  else if (hasEnded(heartbeat.Worker.Life) && !State.Life.empty())
+    logIgnoredHeartbeat(heartbeat);
   else
-    tryLife(beat);
+    probeIncarnation(heartbeat);
   return true;
 }
 
-void WorkerAgent::takeHeartbeat(const Heartbeat &beat) {
-  // A heartbeat that was held up on its way tells an older state.
-  if (beat.Sequence <= LastBeat)
+void WorkerAgent::applyHeartbeat(const Heartbeat &heartbeat) {
+  // A delayed heartbeat carries an outdated state.
+  if (heartbeat.Sequence <= LastHeartbeatSequence)
     return;
-  LastBeat = beat.Sequence;
-  BeatAt = Loop.now();
-  const bool draining = beat.Worker.Draining && !State.Draining;
-  const core::Resources before = State.Capacity;
-  State = beat.Worker;
-  if (State.Capacity != before) {
+  LastHeartbeatSequence = heartbeat.Sequence;
+  LastHeartbeatAt = Loop.now();
+  const bool draining = heartbeat.Worker.Draining && !State.Draining;
+  const core::Resources previousCapacity = State.Capacity;
+  State = heartbeat.Worker;
+  if (State.Capacity != previousCapacity) {
     logEvent(Event::WorkerCapacityChanged,
              {{"worker", State.Life.Id},
               {"cores_milli", State.Capacity.MilliCores},
               {"memory_mb", State.Capacity.MemoryMb},
               {"accelerators", State.Capacity.Accelerators},
-              {"accelerators_before", before.Accelerators}});
+              {"accelerators_before", previousCapacity.Accelerators}});
     reportSoon();
   }
   if (draining) {
@@ -71,51 +75,53 @@
   }
 }
 
-// Once a life: a late one is common, many tell that the life goes on.
-void WorkerAgent::noteIgnored(const Heartbeat &beat) {
-  if (!IgnoredLives.insert(beat.Worker.Life).second)
+// Logged once per incarnation: a single delayed heartbeat is common, while many
+// of them mean that the incarnation is still running.
+void WorkerAgent::logIgnoredHeartbeat(const Heartbeat &heartbeat) {
+  if (!IgnoredIncarnations.insert(heartbeat.Worker.Life).second)
     return;
-  logEvent(Event::WorkerHeartbeatIgnored, {{"worker", beat.Worker.Life.Id},
-                                           {"born_ms", beat.Worker.Life.BornMs},
-                                           {"sequence", beat.Sequence},
-                                           {"clock_ms", beat.ClockMs},
-                                           {"why", "that life has ended"}});
+  logEvent(Event::WorkerHeartbeatIgnored,
+           {{"worker", heartbeat.Worker.Life.Id},
+            {"born_ms", heartbeat.Worker.Life.BornMs},
+            {"sequence", heartbeat.Sequence},
+            {"clock_ms", heartbeat.ClockMs},
+            {"why", "that incarnation has ended"}});
 }
 
-// A heartbeat that a cut delayed may come after its sender has crashed and a
-// new life has begun at the same address. Only the worker itself can tell
-// which of two lives is the present one.
-void WorkerAgent::tryLife(const Heartbeat &beat) {
-  const WorkerLife &life = beat.Worker.Life;
-  if (TryingLife == life)
+// A heartbeat that was delayed by a network failure may arrive after its sender
+// crashed and a new incarnation began at the same address. Only the worker
+// itself can tell which of two incarnations is the current one.
+void WorkerAgent::probeIncarnation(const Heartbeat &heartbeat) {
+  const WorkerLife &incarnation = heartbeat.Worker.Life;
+  if (ProbedIncarnation == incarnation)
     return;
-  TryingLife = life;
-  endpoints::HoldCall look;
-  look.Life = life;
-  look.Epoch = Epoch;
-  Worker.Hold(look, [this, alive = Alive, beat](const HoldReply &reply) {
-    if (!*alive || TryingLife != beat.Worker.Life)
+  ProbedIncarnation = incarnation;
+  endpoints::HoldCall probe;
+  probe.Life = incarnation;
+  probe.Epoch = Epoch;
+  Worker.Hold(probe, [this, alive = Alive, heartbeat](const HoldReply &reply) {
+    if (!*alive || ProbedIncarnation != heartbeat.Worker.Life)
       return;
-    TryingLife = {};
-    if (isOther(reply.Outcome, beat.Worker.Life)) {
-      noteEnded({beat.Worker.Life});
+    ProbedIncarnation = {};
+    if (isOtherIncarnation(reply.Outcome, heartbeat.Worker.Life)) {
+      recordEnd({heartbeat.Worker.Life});
       return;
     }
     if (reply.Outcome.Status != CallStatus::Ok)
       return;
-    adoptLife(beat);
-    noteClock(reply.Outcome.ClockMs);
-    hold(0);
+    beginIncarnation(heartbeat);
+    recordWorkerClock(reply.Outcome.ClockMs);
+    sendKeepAlive(0);
   });
 }
 
-void WorkerAgent::adoptLife(const Heartbeat &beat) {
+void WorkerAgent::beginIncarnation(const Heartbeat &heartbeat) {
   if (!State.Life.empty())
-    endLife("a new life answers", EndSign::OtherLife);
-  forgetEnd(beat.Worker.Life);
-  State = beat.Worker;
-  LastBeat = beat.Sequence;
-  BeatAt = Loop.now();
+    endIncarnation("a new incarnation answers", EndReason::Superseded);
+  removeEnd(heartbeat.Worker.Life);
+  State = heartbeat.Worker;
+  LastHeartbeatSequence = heartbeat.Sequence;
+  LastHeartbeatAt = Loop.now();
   logEvent(Event::WorkerLifeBegan,
            {{"worker", State.Life.Id},
             {"born_ms", State.Life.BornMs},
@@ -124,14 +130,15 @@
             {"accelerators", State.Capacity.Accelerators}});
 }
 
-void WorkerAgent::endLife(const std::string &why, EndSign sign) {
+void WorkerAgent::endIncarnation(const std::string &why, EndReason reason) {
   LifeEnd end{State.Life};
-  end.Crashed = sign != EndSign::SaidSo && !State.Draining;
+  end.Crashed = reason != EndReason::Deregistered && !State.Draining;
   if (end.Crashed)
-    end.JustBegun = Sent.justBegun();
+    end.JustBegun = SentStarts.justBegun();
   end.Witnessed = true;
-  end.MayStillBegin = Sent.mayStillBegin(sign == EndSign::NobodyListens);
-  for (const endpoints::RunId &run : Late.open(Loop.now()))
+  end.MayStillBegin =
+      SentStarts.mayStillBegin(reason == EndReason::ConnectionRefused);
+  for (const endpoints::RunId &run : UnansweredTries.open(Loop.now()))
     if (std::count(end.MayStillBegin.begin(), end.MayStillBegin.end(), run) ==
         0)
       end.MayStillBegin.push_back(run);
@@ -141,93 +148,96 @@
                                     {"crashed", end.Crashed},
                                     {"just_begun", end.JustBegun.size()},
                                     {"may_begin", end.MayStillBegin.size()}});
-  noteEnded(std::move(end));
-  settleLateStarts(State.Life);
-  Sent = {};
+  recordEnd(std::move(end));
+  resolveUnansweredStarts(State.Life);
+  SentStarts = {};
   State = {};
-  LastBeat = 0;
+  LastHeartbeatSequence = 0;
   ClockOffset.reset();
   SeenUpto = 0;
   Running.clear();
   Ended.clear();
-  OldestEnd = 0;
+  OldestEndNumber = 0;
   ListedEpoch = 0;
-  HoldsTaken = HoldsSent;
-  // A look at the old life may stay open for a while yet; it must not keep the
-  // new life from being looked at.
-  HoldsOut = 0;
-  HoldFailures = 0;
-  NotThere = 0;
+  LastAppliedKeepAlive = KeepAlivesSent;
+  // A poll of the previous incarnation may still be waiting for its answer. It
+  // must not prevent polls of the new incarnation.
+  KeepAlivesInFlight = 0;
+  ConsecutivePollFailures = 0;
+  RefusedConnections = 0;
   Reachable = false;
-  Listed = false;
-  Starting.clear();
-  StoppingRuns.clear();
-  Stopped.clear();
-  Concluded.clear();
-  ConcludedOrder.clear();
-  FirstResult += Results.size();
+  ListsReceived = false;
+  StartsInProgress.clear();
+  StopsInProgress.clear();
+  UnconfirmedStops.clear();
+  CompletedOrders.clear();
+  CompletionOrder.clear();
+  FirstResultNumber += Results.size();
   Results.clear();
   reportSoon();
 }
 
-// The next life under the id is told to refuse what may come late before it can
-// be given anything, and as soon as it listens.
-void WorkerAgent::settleLateStarts(const WorkerLife &ended) {
+// The next incarnation under the id receives a stop for every start that may
+// still arrive late, as soon as it listens and before it can get any orders, so
+// that it refuses these starts.
+void WorkerAgent::resolveUnansweredStarts(const WorkerLife &ended) {
   if (ended.BornMs == 0)
-    Late.clear();
-  for (const endpoints::RunId &run : Late.open(Loop.now()))
-    settleLateStart(ended, run);
+    UnansweredTries.clear();
+  for (const endpoints::RunId &run : UnansweredTries.open(Loop.now()))
+    resolveUnansweredStart(ended, run);
 }
 
-void WorkerAgent::settleLateStart(const WorkerLife &ended,
-                                  const endpoints::RunId &run) {
-  if (!Late.isOpen(run, Loop.now()))
+void WorkerAgent::resolveUnansweredStart(const WorkerLife &ended,
+                                         const endpoints::RunId &run) {
+  if (!UnansweredTries.isOpen(run, Loop.now()))
     return;
   endpoints::StopCall call{ended, {run.Task, run.Run}, Epoch, true};
   Worker.Stop(call, [this, alive = Alive, ended, run](const CallOutcome &o) {
     if (!*alive)
       return;
     if (o.Status == CallStatus::OtherLife)
-      Late.clear();
+      UnansweredTries.clear();
     if (o.Status == CallStatus::Ok)
-      Late.settled(run);
-    Loop.runAfter(SettleAgain, [this, alive, ended, run] {
+      UnansweredTries.settled(run);
+    Loop.runAfter(ResolveRetryPause, [this, alive, ended, run] {
       if (*alive)
-        settleLateStart(ended, run);
+        resolveUnansweredStart(ended, run);
     });
   });
 }
 
-void WorkerAgent::noteEnded(LifeEnd end) {
+void WorkerAgent::recordEnd(LifeEnd end) {
   if (hasEnded(end.Life))
     return;
-  EndedLives.push_back(std::move(end));
-  if (EndedLives.size() <= MostEndedLives)
+  EndedIncarnations.push_back(std::move(end));
+  if (EndedIncarnations.size() <= MaxEndedIncarnations)
     return;
-  IgnoredLives.erase(EndedLives.front().Life);
-  EndedLives.erase(EndedLives.begin());
+  IgnoredIncarnations.erase(EndedIncarnations.front().Life);
+  EndedIncarnations.erase(EndedIncarnations.begin());
 }
 
-bool WorkerAgent::hasEnded(const WorkerLife &life) const {
-  return std::any_of(EndedLives.begin(), EndedLives.end(),
-                     [&](const LifeEnd &end) { return end.Life == life; });
+bool WorkerAgent::hasEnded(const WorkerLife &incarnation) const {
+  return std::any_of(
+      EndedIncarnations.begin(), EndedIncarnations.end(),
+      [&](const LifeEnd &end) { return end.Life == incarnation; });
 }
 
-// A life that was taken for ended goes on after all.
-void WorkerAgent::forgetEnd(const WorkerLife &life) {
-  IgnoredLives.erase(life);
-  std::erase_if(EndedLives,
-                [&](const LifeEnd &end) { return end.Life == life; });
+// Called when an incarnation that counted as ended is still running.
+void WorkerAgent::removeEnd(const WorkerLife &incarnation) {
+  IgnoredIncarnations.erase(incarnation);
+  std::erase_if(EndedIncarnations,
+                [&](const LifeEnd &end) { return end.Life == incarnation; });
 }
 
-// A worker that does not say which of its lives leaves has said before that it
-// drains; one that does not drain has started again since.
-void WorkerAgent::onLeave(const WorkerLife &life) {
-  const bool anyLife = life.BornMs == 0 && life.Id == State.Life.Id;
-  if (life == State.Life || (anyLife && State.Draining))
-    endLife("it said so", EndSign::SaidSo);
-  else if (!anyLife)
-    noteEnded({life});
+// A worker that deregisters without its start time has announced before that it
+// drains. If the served incarnation does not drain, it is a later one.
+void WorkerAgent::onLeave(const WorkerLife &incarnation) {
+  const bool anyIncarnation =
+      incarnation.BornMs == 0 && incarnation.Id == State.Life.Id;
+  if (incarnation == State.Life || (anyIncarnation && State.Draining))
+    endIncarnation("the worker deregistered", EndReason::Deregistered);
+  else if (!anyIncarnation)
+    recordEnd({incarnation});
 }
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/workeragent_orders.cpp
+++ b/src/libs/agent/workeragent_orders.cpp
@@ -1,5 +1,5 @@
-// The leader's orders: starts and stops that are carried out at the worker
-// until each has an outcome.
+// Carries out the leader's orders: sends starts and stops to the worker until
+// each order has an outcome.
 #include "workeragent.h"
 
 #include "eventlog/eventlog.h"
@@ -19,85 +19,92 @@
 
 namespace {
 
-/// An order without an answer is given again after this long, on another
-/// connection: the worker beside answers in milliseconds when it answers.
-constexpr int StartTries = 4;
-constexpr int StopTries = 40;
-constexpr absl::Duration OrderAgain = absl::Milliseconds(60);
-/// Results remembered, so that late messages find them.
-constexpr size_t MostConcluded = 2048;
-/// Worker time that is left for a start to arrive.
-constexpr int64_t LeastHoldMs = 300;
+/// Maximum number of attempts to start or to stop a run.
+constexpr int MaxStartAttempts = 4;
+constexpr int MaxStopAttempts = 40;
+/// Pause before an order without an answer is sent again, on another
+/// connection. The worker on the same machine normally answers within
+/// milliseconds.
+constexpr absl::Duration OrderRetryPause = absl::Milliseconds(60);
+/// Number of completed orders that are remembered to answer delayed messages.
+constexpr size_t MaxCompletedOrders = 2048;
+/// Minimum remaining grant that is required to send a start, so that the start
+/// can reach the worker in time.
+constexpr int64_t MinGrantForStartMs = 300;
 
 } // namespace
 
-/// An order while it is carried out.
+/// An order that is being carried out.
 struct WorkerAgent::Order {
   endpoints::StartOrder Start;
   endpoints::StopOrder Stop;
   endpoints::WorkerLife Life;
-  /// Of the leader that gave it: every try carries this one, never a newer.
+  /// Epoch of the leader that gave the order. Every attempt carries this epoch,
+  /// never a newer one.
   int64_t Epoch = 0;
-  int Tries = 0;
-  /// An earlier try had no answer: it may have been carried out, or may yet.
-  bool MayHaveArrived = false;
+  int Attempts = 0;
+  /// An earlier attempt got no answer, so the worker may have carried it out or
+  /// may still do so.
+  bool PossiblyDelivered = false;
 };
 
 Message WorkerAgent::onMessage(const Message &message) {
   if (const auto *orders = std::get_if<endpoints::WorkerOrders>(&message))
     return onOrders(*orders);
-  return endpoints::Ack{false, "an agent does not take that message"};
+  return endpoints::Ack{false, "agents do not accept this message type"};
 }
 
 endpoints::Ack WorkerAgent::onOrders(const endpoints::WorkerOrders &orders) {
-  // An entry that was paused may go on as leader after another took over.
+  // An entry that was paused may still act as leader after another took over.
   if (orders.Epoch < Epoch)
-    return {false, "fenced: another entry leads", Epoch};
+    return {false, "fenced: another entry is the leader", Epoch};
   if (State.Life.empty())
-    return {false, "no worker has shown up yet", Epoch};
+    return {false, "no worker has announced itself yet", Epoch};
   Epoch = orders.Epoch;
   logEvent(Event::OrderReceived, {{"worker", orders.Life.Id},
                                   {"epoch", orders.Epoch},
                                   {"starts", orders.Starts.size()},
                                   {"stops", orders.Stops.size()}});
-  const bool otherLife = orders.Life != State.Life;
+  const bool otherIncarnation = orders.Life != State.Life;
   for (const endpoints::StopOrder &stop : orders.Stops) {
     const RunKey key{stop.Task, stop.Run};
-    if (otherLife)
-      conclude(key, OrderOutcome::Gone, "that life of the worker has ended");
-    else if (StoppingRuns.count(key) == 0) {
+    if (otherIncarnation)
+      completeOrder(key, OrderOutcome::Gone,
+                    "that incarnation of the worker has ended");
+    else if (StopsInProgress.count(key) == 0) {
       auto order = std::make_shared<Order>();
       order->Stop = stop;
       order->Life = orders.Life;
       order->Epoch = orders.Epoch;
-      StoppingRuns[key] = order;
+      StopsInProgress[key] = order;
       stopTask(order);
     }
   }
   for (const endpoints::StartOrder &start : orders.Starts) {
     const RunKey key{start.Task, start.Run};
-    auto known = Concluded.find(key);
-    if (otherLife) {
-      conclude(key, OrderOutcome::Gone, "that life of the worker has ended");
-    } else if (known != Concluded.end()) {
+    auto known = CompletedOrders.find(key);
+    if (otherIncarnation) {
+      completeOrder(key, OrderOutcome::Gone,
+                    "that incarnation of the worker has ended");
+    } else if (known != CompletedOrders.end()) {
       Results.push_back(known->second);
       reportSoon();
     } else if (State.Draining) {
-      conclude(key, OrderOutcome::Refused, "the worker is draining");
-    } else if (Starting.count(key) == 0) {
+      completeOrder(key, OrderOutcome::Refused, "the worker is draining");
+    } else if (StartsInProgress.count(key) == 0) {
       auto order = std::make_shared<Order>();
       order->Start = start;
       order->Life = orders.Life;
       order->Epoch = orders.Epoch;
-      Starting[key] = order;
+      StartsInProgress[key] = order;
       startTask(order);
     }
   }
   return {true, "", Epoch};
 }
 
-void WorkerAgent::conclude(const RunKey &run, OrderOutcome outcome,
-                           const std::string &detail) {
+void WorkerAgent::completeOrder(const RunKey &run, OrderOutcome outcome,
+                                const std::string &detail) {
   endpoints::OrderResult result{run.first, run.second, outcome, detail};
   logEvent(Event::OrderCarriedOut,
            {{"task", run.first},
@@ -105,16 +112,16 @@
             {"outcome", endpoints::orderOutcomeName(outcome)},
             {"why", detail}});
   if (outcome != OrderOutcome::Started && outcome != OrderOutcome::Unconfirmed)
-    Sent.neverBegan({run.first, run.second});
-  if (Concludes)
-    Concludes(result);
-  if (Concluded.emplace(run, result).second)
-    ConcludedOrder.push_back(run);
+    SentStarts.neverBegan({run.first, run.second});
+  if (OrderCompleted)
+    OrderCompleted(result);
+  if (CompletedOrders.emplace(run, result).second)
+    CompletionOrder.push_back(run);
   else
-    Concluded[run] = result;
-  if (ConcludedOrder.size() > MostConcluded) {
-    Concluded.erase(ConcludedOrder.front());
-    ConcludedOrder.pop_front();
+    CompletedOrders[run] = result;
+  if (CompletionOrder.size() > MaxCompletedOrders) {
+    CompletedOrders.erase(CompletionOrder.front());
+    CompletionOrder.pop_front();
   }
   Results.push_back(std::move(result));
   reportSoon();
@@ -122,34 +129,35 @@
 
 void WorkerAgent::startTask(const OrderPtr &order) {
   const RunKey key{order->Start.Task, order->Start.Run};
-  auto known = Starting.find(key);
-  if (known == Starting.end() || known->second != order)
+  auto known = StartsInProgress.find(key);
+  if (known == StartsInProgress.end() || known->second != order)
     return;
-  // Another leader leads by now. It settles this run from the worker's list,
-  // after which a further try would start it behind its back.
+  // A new leader has taken over and resolves this run from the worker's list.
+  // A further attempt could start the run after that, without its knowledge.
   if (order->Epoch < Epoch) {
-    Starting.erase(known);
+    StartsInProgress.erase(known);
     return;
   }
-  // The worker has shrunk since the leader decided, and does not refuse by
-  // itself what it cannot hold.
+  // The worker's capacity decreased after the leader's decision, and the worker
+  // does not refuse tasks that exceed its capacity.
   if (!order->Start.DecidedOn.fitsIn(State.Capacity)) {
-    Starting.erase(key);
-    conclude(key,
-             order->MayHaveArrived ? OrderOutcome::Unconfirmed
-                                   : OrderOutcome::NoRoom,
-             "its capacity has shrunk");
+    StartsInProgress.erase(key);
+    completeOrder(key,
+                  order->PossiblyDelivered ? OrderOutcome::Unconfirmed
+                                           : OrderOutcome::NoRoom,
+                  "the worker's capacity has decreased");
     return;
   }
-  // What is not granted any more must not begin: the leader may count this
+  // No run may start without a grant, as the leader may already count this
   // worker's tasks as ended.
-  const int64_t until = untilMs();
-  if (!ClockOffset || GrantEnd - Loop.now() < absl::Milliseconds(LeastHoldMs)) {
-    Starting.erase(key);
-    conclude(key,
-             order->MayHaveArrived ? OrderOutcome::Unconfirmed
-                                   : OrderOutcome::Refused,
-             "no grant to keep it alive");
+  const int64_t until = keepAliveUntilMs();
+  if (!ClockOffset ||
+      GrantEnd - Loop.now() < absl::Milliseconds(MinGrantForStartMs)) {
+    StartsInProgress.erase(key);
+    completeOrder(key,
+                  order->PossiblyDelivered ? OrderOutcome::Unconfirmed
+                                           : OrderOutcome::Refused,
+                  "no grant to keep the task alive");
     return;
   }
   endpoints::StartCall call;
@@ -157,9 +165,9 @@
   call.Order = order->Start;
   call.UntilMs = until;
   call.Epoch = order->Epoch;
-  call.FreshConnection = order->Tries > 0;
-  ++order->Tries;
-  Sent.sent({key.first, key.second}, Loop.now());
+  call.FreshConnection = order->Attempts > 0;
+  ++order->Attempts;
+  SentStarts.sent({key.first, key.second}, Loop.now());
   Worker.Start(call, [this, alive = Alive, order](const CallOutcome &outcome) {
     if (*alive && order->Life == State.Life)
       onStarted(order, outcome);
@@ -168,19 +176,19 @@
 
 void WorkerAgent::onStarted(const OrderPtr &order, const CallOutcome &outcome) {
   const RunKey key{order->Start.Task, order->Start.Run};
-  noteClock(outcome.ClockMs);
+  recordWorkerClock(outcome.ClockMs);
   auto end = [&](OrderOutcome result) {
-    Starting.erase(key);
-    // A try without an answer may still be carried out, so that another's
-    // refusal does not settle the run.
-    if (order->MayHaveArrived && result != OrderOutcome::Started &&
+    StartsInProgress.erase(key);
+    // The worker may still carry out an attempt that got no answer, so the
+    // refusal of another attempt does not resolve the run.
+    if (order->PossiblyDelivered && result != OrderOutcome::Started &&
         result != OrderOutcome::Gone)
       result = OrderOutcome::Unconfirmed;
-    conclude(key, result, outcome.Detail);
+    completeOrder(key, result, outcome.Detail);
   };
   switch (outcome.Status) {
   case CallStatus::Ok:
-    Sent.taken({key.first, key.second});
+    SentStarts.taken({key.first, key.second});
     return end(OrderOutcome::Started);
   case CallStatus::OtherLife:
     return end(OrderOutcome::Gone);
@@ -193,18 +201,18 @@
       return end(OrderOutcome::Fenced);
     return end(OrderOutcome::Refused);
   case CallStatus::NoAnswer:
-    order->MayHaveArrived = true;
-    Late.unanswered({key.first, key.second}, Loop.now());
+    order->PossiblyDelivered = true;
+    UnansweredTries.unanswered({key.first, key.second}, Loop.now());
     break;
   case CallStatus::NotSent:
   case CallStatus::NotThere:
-    if (!order->MayHaveArrived)
-      Sent.neverBegan({key.first, key.second});
+    if (!order->PossiblyDelivered)
+      SentStarts.neverBegan({key.first, key.second});
     break;
   }
-  if (order->Tries >= StartTries)
+  if (order->Attempts >= MaxStartAttempts)
     return end(OrderOutcome::Refused);
-  Loop.runAfter(OrderAgain, [this, alive = Alive, order] {
+  Loop.runAfter(OrderRetryPause, [this, alive = Alive, order] {
     if (*alive && order->Life == State.Life)
       startTask(order);
   });
@@ -212,15 +220,15 @@
 
 void WorkerAgent::stopTask(const OrderPtr &order) {
   if (order->Epoch < Epoch) {
-    StoppingRuns.erase({order->Stop.Task, order->Stop.Run});
+    StopsInProgress.erase({order->Stop.Task, order->Stop.Run});
     return;
   }
   endpoints::StopCall call;
   call.Life = order->Life;
   call.Order = order->Stop;
   call.Epoch = order->Epoch;
-  call.FreshConnection = order->Tries > 0;
-  ++order->Tries;
+  call.FreshConnection = order->Attempts > 0;
+  ++order->Attempts;
   Worker.Stop(call, [this, alive = Alive, order](const CallOutcome &outcome) {
     if (*alive && order->Life == State.Life)
       onStopped(order, outcome);
@@ -229,43 +237,46 @@
 
 void WorkerAgent::onStopped(const OrderPtr &order, const CallOutcome &outcome) {
   const RunKey key{order->Stop.Task, order->Stop.Run};
-  noteClock(outcome.ClockMs);
+  recordWorkerClock(outcome.ClockMs);
   if (outcome.Status == CallStatus::Ok) {
-    // From now on the run is listed or can never begin; the next look tells.
-    StoppingRuns.erase(key);
-    Stopped[key] = HoldsSent + 1;
-    hold(0);
+    // From now on the run is either listed or can never start. The next poll
+    // shows which.
+    StopsInProgress.erase(key);
+    UnconfirmedStops[key] = KeepAlivesSent + 1;
+    sendKeepAlive(0);
     return;
   }
   if (outcome.Status == CallStatus::OtherLife ||
-      outcome.Status == CallStatus::Refused || order->Tries >= StopTries) {
-    StoppingRuns.erase(key);
+      outcome.Status == CallStatus::Refused ||
+      order->Attempts >= MaxStopAttempts) {
+    StopsInProgress.erase(key);
     if (outcome.Status == CallStatus::OtherLife)
-      conclude(key, OrderOutcome::Gone, outcome.Detail);
+      completeOrder(key, OrderOutcome::Gone, outcome.Detail);
     return;
   }
-  Loop.runAfter(OrderAgain, [this, alive = Alive, order] {
+  Loop.runAfter(OrderRetryPause, [this, alive = Alive, order] {
     if (*alive && order->Life == State.Life)
       stopTask(order);
   });
 }
 
-void WorkerAgent::settleStops(uint64_t holdNumber) {
+void WorkerAgent::resolveStops(uint64_t callNumber) {
   std::set<RunKey> listed;
   for (const endpoints::RunningTask &r : Running)
     listed.insert({r.Task, r.Run});
   std::set<RunKey> ended;
   for (const endpoints::EndedTask &e : Ended)
     ended.insert({e.Task, e.Run});
-  for (auto it = Stopped.begin(); it != Stopped.end();) {
+  for (auto it = UnconfirmedStops.begin(); it != UnconfirmedStops.end();) {
     const RunKey key = it->first;
-    if (holdNumber < it->second || listed.count(key) != 0) {
+    if (callNumber < it->second || listed.count(key) != 0) {
       ++it;
       continue;
     }
-    it = Stopped.erase(it);
+    it = UnconfirmedStops.erase(it);
     if (ended.count(key) == 0)
-      conclude(key, OrderOutcome::Absent, "the worker does not know it");
+      completeOrder(key, OrderOutcome::Absent,
+                    "the worker does not know the run");
   }
 }
 
