--- a/src/libs/agent/agentservice.cpp
+++ b/src/libs/agent/agentservice.cpp
@@ -63,7 +63,7 @@
   return {{"received", Server->messages()},
           {"received_bytes", Server->bytes()},
           {"sent", SentMessages.load()},
-          {"running_tasks", Tasks.running()},
+          {"running_tasks", Tasks.runningCount()},
           {"epoch", Epoch},
           {"profile_version", ConfigVersion}};
 }
@@ -83,7 +83,7 @@
   const auto entries = heartbeatTargets();
   const std::vector<endpoints::Message> messages(
       entries.size(), endpoints::Announce{info, Incarnation, Draining, epoch,
-                                          Tasks.unreported()});
+                                          Tasks.unreportedTasks()});
   const absl::Time sent = steadyNow();
   SentMessages += static_cast<int64_t>(entries.size());
   {
@@ -145,8 +145,8 @@
   // The leading entry declares a disconnected worker lost after the task lease
   // and restarts its gangs elsewhere. The back end must have stopped its tasks
   // by then, so the lease is renewed only for the rest of that time.
-  if (leftMs > 0 && !Tasks.idle())
-    Tasks.recordWatts(backend.hold(leftMs));
+  if (leftMs > 0 && !Tasks.isIdle())
+    Tasks.recordWatts(backend.renewLeases(leftMs));
 }
 
 void AgentService::stopLeftoverTasks() {
@@ -305,9 +305,9 @@
 }
 
 bool AgentService::waitUntilIdle(absl::Time deadline) {
-  while (!Tasks.idle() && steadyNow() < deadline)
+  while (!Tasks.isIdle() && steadyNow() < deadline)
     absl::SleepFor(RetryPeriod);
-  return Tasks.idle();
+  return Tasks.isIdle();
 }
 
 void AgentService::stop(absl::Duration drainTimeout) {
--- a/src/libs/agent/latestarts.cpp
+++ b/src/libs/agent/latestarts.cpp
@@ -4,23 +4,23 @@
 
 using endpoints::RunId;
 
-void LateStarts::unanswered(const RunId &run, absl::Time now) {
+void UnansweredStarts::recordAttempt(const RunId &run, absl::Time now) {
   std::erase_if(LastAttempts, [now](const auto &entry) {
     return now - entry.second > endpoints::LateOrdersWithin;
   });
   LastAttempts[run] = now;
 }
 
-bool LateStarts::isOpen(const RunId &run, absl::Time now) const {
+bool UnansweredStarts::isUnresolved(const RunId &run, absl::Time now) const {
   auto it = LastAttempts.find(run);
   return it != LastAttempts.end() &&
          now - it->second <= endpoints::LateOrdersWithin;
 }
 
-std::vector<RunId> LateStarts::open(absl::Time now) const {
+std::vector<RunId> UnansweredStarts::unresolvedRuns(absl::Time now) const {
   std::vector<RunId> runs;
   for (const auto &[run, at] : LastAttempts)
-    if (isOpen(run, now))
+    if (isUnresolved(run, now))
       runs.push_back(run);
   return runs;
 }
--- a/src/libs/agent/latestarts.h
+++ b/src/libs/agent/latestarts.h
@@ -13,18 +13,18 @@
 /// out such an attempt late. The next incarnation of the worker under the same
 /// id may do so as well, even if another attempt was answered and the run has
 /// ended since. Uses no threads, clock or sockets.
-class LateStarts {
+class UnansweredStarts {
 public:
   /// An attempt to start the run got no answer.
-  void unanswered(const endpoints::RunId &run, absl::Time now);
+  void recordAttempt(const endpoints::RunId &run, absl::Time now);
   /// No incarnation can carry out the run from now on.
-  void settled(const endpoints::RunId &run) { LastAttempts.erase(run); }
+  void markResolved(const endpoints::RunId &run) { LastAttempts.erase(run); }
   /// No incarnation uses that worker id any more.
   void clear() { LastAttempts.clear(); }
   /// Returns whether a worker may still carry out the run.
-  bool isOpen(const endpoints::RunId &run, absl::Time now) const;
+  bool isUnresolved(const endpoints::RunId &run, absl::Time now) const;
   /// Returns all runs that a worker may still carry out.
-  std::vector<endpoints::RunId> open(absl::Time now) const;
+  std::vector<endpoints::RunId> unresolvedRuns(absl::Time now) const;
 
 private:
   /// Time of the latest unanswered attempt of each run.
--- a/src/libs/agent/tasktable.cpp
+++ b/src/libs/agent/tasktable.cpp
@@ -166,7 +166,7 @@
   }
 }
 
-std::vector<endpoints::TaskStatus> TaskTable::unreported() const {
+std::vector<endpoints::TaskStatus> TaskTable::unreportedTasks() const {
   absl::MutexLock lock(&Mu);
   std::vector<endpoints::TaskStatus> out;
   for (const auto &[key, task] : Tasks)
@@ -174,12 +174,12 @@
   return out;
 }
 
-bool TaskTable::idle() const {
+bool TaskTable::isIdle() const {
   absl::MutexLock lock(&Mu);
   return Tasks.empty() && Reservations.empty();
 }
 
-int TaskTable::running() const {
+int TaskTable::runningCount() const {
   absl::MutexLock lock(&Mu);
   return static_cast<int>(
       std::count_if(Tasks.begin(), Tasks.end(),
--- a/src/libs/agent/tasktable.h
+++ b/src/libs/agent/tasktable.h
@@ -70,11 +70,11 @@
   std::vector<std::string> dropExpired(absl::Time now);
   void recordWatts(const std::vector<endpoints::TaskStatus> &measured);
   /// Returns the tasks whose end has not been reported.
-  std::vector<endpoints::TaskStatus> unreported() const;
+  std::vector<endpoints::TaskStatus> unreportedTasks() const;
   /// Returns whether there are neither tasks nor reservations.
-  bool idle() const;
+  bool isIdle() const;
   /// Returns the number of running tasks.
-  int running() const;
+  int runningCount() const;
 
 private:
   struct Reservation {
--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -53,7 +53,7 @@
 WorkerAgent::WorkerAgent(utils::EventLoop &loop, platform::Store store,
                          endpoints::Peers peers, endpoints::WorkerCalls worker,
                          settings::NodeSettings settings,
-                         std::string entryPrefix, OnConcluded onCompleted)
+                         std::string entryPrefix, OnOrderCompleted onCompleted)
     : Loop(loop), Peers(std::move(peers)), Worker(std::move(worker)),
       Settings(std::move(settings)), Time(settings::deriveTiming(Settings)),
       Calls(std::move(store)), EntryPrefix(std::move(entryPrefix)),
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -47,12 +47,12 @@
 class WorkerAgent {
 public:
   /// Called with the outcome of each order, for counting.
-  using OnConcluded = std::function<void(const endpoints::OrderResult &)>;
+  using OnOrderCompleted = std::function<void(const endpoints::OrderResult &)>;
 
   WorkerAgent(utils::EventLoop &loop, platform::Store store,
               endpoints::Peers peers, endpoints::WorkerCalls worker,
               settings::NodeSettings settings, std::string entryPrefix,
-              OnConcluded onCompleted = {});
+              OnOrderCompleted onCompleted = {});
   ~WorkerAgent();
   WorkerAgent(const WorkerAgent &) = delete;
   WorkerAgent &operator=(const WorkerAgent &) = delete;
@@ -136,7 +136,7 @@
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   const platform::Store Calls;
   const std::string EntryPrefix;
-  const OnConcluded OrderCompleted;
+  const OnOrderCompleted OrderCompleted;
   LeaderFinder Leader;
   bool ReadingEntries = false;
 
@@ -190,7 +190,7 @@
   StartBook SentStarts;
   /// Starts without an answer. Kept across incarnations, as they may share an
   /// id.
-  LateStarts UnansweredTries;
+  UnansweredStarts Unanswered;
   /// Starts and stops that are being carried out.
   std::map<RunKey, OrderPtr> StartsInProgress;
   std::map<RunKey, OrderPtr> StopsInProgress;
--- a/src/libs/agent/workeragent_life.cpp
+++ b/src/libs/agent/workeragent_life.cpp
@@ -138,7 +138,7 @@
   end.Witnessed = true;
   end.MayStillBegin =
       SentStarts.mayStillBegin(reason == EndReason::ConnectionRefused);
-  for (const endpoints::RunId &run : UnansweredTries.open(Loop.now()))
+  for (const endpoints::RunId &run : Unanswered.unresolvedRuns(Loop.now()))
     if (std::count(end.MayStillBegin.begin(), end.MayStillBegin.end(), run) ==
         0)
       end.MayStillBegin.push_back(run);
@@ -182,23 +182,23 @@
 // that it refuses these starts.
 void WorkerAgent::resolveUnansweredStarts(const WorkerLife &ended) {
   if (ended.BornMs == 0)
-    UnansweredTries.clear();
-  for (const endpoints::RunId &run : UnansweredTries.open(Loop.now()))
+    Unanswered.clear();
+  for (const endpoints::RunId &run : Unanswered.unresolvedRuns(Loop.now()))
     resolveUnansweredStart(ended, run);
 }
 
 void WorkerAgent::resolveUnansweredStart(const WorkerLife &ended,
                                          const endpoints::RunId &run) {
-  if (!UnansweredTries.isOpen(run, Loop.now()))
+  if (!Unanswered.isUnresolved(run, Loop.now()))
     return;
   endpoints::StopCall call{ended, {run.Task, run.Run}, Epoch, true};
   Worker.Stop(call, [this, alive = Alive, ended, run](const CallOutcome &o) {
     if (!*alive)
       return;
     if (o.Status == CallStatus::OtherLife)
-      UnansweredTries.clear();
+      Unanswered.clear();
     if (o.Status == CallStatus::Ok)
-      UnansweredTries.settled(run);
+      Unanswered.markResolved(run);
     Loop.runAfter(ResolveRetryPause, [this, alive, ended, run] {
       if (*alive)
         resolveUnansweredStart(ended, run);
--- a/src/libs/agent/workeragent_orders.cpp
+++ b/src/libs/agent/workeragent_orders.cpp
@@ -202,7 +202,7 @@
     return end(OrderOutcome::Refused);
   case CallStatus::NoAnswer:
     order->PossiblyDelivered = true;
-    UnansweredTries.unanswered({key.first, key.second}, Loop.now());
+    Unanswered.recordAttempt({key.first, key.second}, Loop.now());
     break;
   case CallStatus::NotSent:
   case CallStatus::NotThere:
--- a/src/libs/endpoints/backendclient.cpp
+++ b/src/libs/endpoints/backendclient.cpp
@@ -45,7 +45,7 @@
   return Client.call("POST", Url + "/stop", body.dump()).Status == 200;
 }
 
-std::vector<TaskStatus> BackendClient::hold(int leaseMs) {
+std::vector<TaskStatus> BackendClient::renewLeases(int leaseMs) {
   json body = {{"endpoint", EndpointId}, {"lease_ms", leaseMs}};
   http::HttpResult res = Client.call("POST", Url + "/hold", body.dump());
   json reply = json::parse(res.Body, nullptr, false);
--- a/src/libs/endpoints/backendclient.h
+++ b/src/libs/endpoints/backendclient.h
@@ -26,8 +26,8 @@
 };
 
 /// Calls the endpoint's back end over HTTP. Tasks run under a lease there: the
-/// back end stops all tasks of this endpoint if hold() was not called for
-/// leaseMs milliseconds. Each thread needs its own client.
+/// back end stops all tasks of this endpoint if renewLeases() was not called
+/// for leaseMs milliseconds. Each thread needs its own client.
 class BackendClient {
 public:
   BackendClient(std::string url, std::string endpointId, long timeoutMs);
@@ -45,7 +45,7 @@
   /// Renews the lease of all tasks (POST /hold). Returns the running tasks with
   /// the power that each draws, or an empty list if the back end did not
   /// answer.
-  std::vector<TaskStatus> hold(int leaseMs);
+  std::vector<TaskStatus> renewLeases(int leaseMs);
 
 private:
   const std::string Url;
--- a/src/libs/platform/election.cpp
+++ b/src/libs/platform/election.cpp
@@ -34,7 +34,7 @@
 
 Election::Election(utils::EventLoop &loop, const Store &store,
                    ElectionOptions options, OnChange onChange,
-                   OnTrouble onStoreError)
+                   OnStoreError onStoreError)
     : Loop(loop), Calls(store), Options(std::move(options)),
       NotifyChange(std::move(onChange)),
       NotifyStoreError(std::move(onStoreError)),
--- a/src/libs/platform/election.h
+++ b/src/libs/platform/election.h
@@ -54,17 +54,17 @@
 class Election {
 public:
   using OnChange = std::function<void(const Leadership &)>;
-  using OnTrouble = std::function<void(StoreStatus, const std::string &why)>;
+  using OnStoreError = std::function<void(StoreStatus, const std::string &why)>;
 
   Election(utils::EventLoop &loop, const Store &store, ElectionOptions options,
-           OnChange onChange, OnTrouble onStoreError);
+           OnChange onChange, OnStoreError onStoreError);
   ~Election();
   Election(const Election &) = delete;
   Election &operator=(const Election &) = delete;
 
   void start();
   /// Returns the current leader as far as this entry knows.
-  const Leadership &known() const { return KnownLeadership; }
+  const Leadership &leadership() const { return KnownLeadership; }
   /// Returns when the store last confirmed this entry's lease while it led: the
   /// time on the boot clock at which the confirmed call was sent.
   absl::Time confirmed() const { return Confirmed; }
@@ -92,7 +92,7 @@
   const Store &Calls;
   const ElectionOptions Options;
   const OnChange NotifyChange;
-  const OnTrouble NotifyStoreError;
+  const OnStoreError NotifyStoreError;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   PrefixFollower Follower;
   int64_t Lease = 0;
--- a/src/libs/platform/prefixfollower.cpp
+++ b/src/libs/platform/prefixfollower.cpp
@@ -10,12 +10,12 @@
 PrefixFollower::PrefixFollower(utils::EventLoop &loop, const Store &store,
                                std::string prefix, FollowTiming timing,
                                OnChange onChange, OnComplete onComplete,
-                               OnTrouble onStoreError)
+                               OnStoreError onStoreError)
     : Loop(loop), Calls(store), Prefix(std::move(prefix)),
       Timing(std::move(timing)), NotifyChange(std::move(onChange)),
       NotifyComplete(std::move(onComplete)),
-      NotifyStoreError(std::move(onStoreError)), RetryPause(Timing.FirstPause) {
-}
+      NotifyStoreError(std::move(onStoreError)),
+      RetryPause(Timing.InitialRetryPause) {}
 
 PrefixFollower::~PrefixFollower() { ++*Round; }
 
@@ -44,7 +44,7 @@
     retry(round, [this] { readAgain(); });
     return;
   }
-  RetryPause = Timing.FirstPause;
+  RetryPause = Timing.InitialRetryPause;
   // The pages are not a snapshot. A watch from the revision of the first page
   // repeats some changes, but misses none.
   if (FirstPageRevision == 0)
@@ -103,7 +103,8 @@
 void PrefixFollower::learn(KeyValue item) { apply({std::move(item), false}); }
 
 void PrefixFollower::watch(uint64_t round) {
-  Calls.Watch(Prefix, SeenRevision, absl::ToInt64Milliseconds(Timing.WatchWait),
+  Calls.Watch(Prefix, SeenRevision,
+              absl::ToInt64Milliseconds(Timing.MaxWatchWait),
               [this, currentRound = Round,
                round](const StoreReply<StoreEvents> &reply) {
                 if (*currentRound == round)
@@ -122,7 +123,7 @@
     retry(round, [this] { readAgain(); });
     return;
   }
-  RetryPause = Timing.FirstPause;
+  RetryPause = Timing.InitialRetryPause;
   // Only the newest change of each key is reported: decoding a record is the
   // most expensive step here, and some records are written many times per
   // second.
@@ -157,7 +158,7 @@
 
 void PrefixFollower::retry(uint64_t round, std::function<void()> action) {
   const absl::Duration pause = RetryPause;
-  RetryPause = std::min(RetryPause * 2, Timing.LongestPause);
+  RetryPause = std::min(RetryPause * 2, Timing.MaxRetryPause);
   Loop.runAfter(pause,
                 [currentRound = Round, round, action = std::move(action)] {
                   if (*currentRound == round)
--- a/src/libs/platform/prefixfollower.h
+++ b/src/libs/platform/prefixfollower.h
@@ -19,11 +19,11 @@
 struct FollowTiming {
   /// Maximum time for which the store delays the answer to a watch without
   /// changes.
-  absl::Duration WatchWait = absl::Seconds(5);
+  absl::Duration MaxWatchWait = absl::Seconds(5);
   /// Pause after the first failed call; doubles with each further failure up to
-  /// LongestPause.
-  absl::Duration FirstPause = absl::Milliseconds(100);
-  absl::Duration LongestPause = absl::Seconds(1);
+  /// MaxRetryPause.
+  absl::Duration InitialRetryPause = absl::Milliseconds(100);
+  absl::Duration MaxRetryPause = absl::Seconds(1);
   /// Returns the delay between received changes and the next watch, so that
   /// changes in short succession are fetched with one call. Each change wakes
   /// every process that watches: without a delay the number of calls grows with
@@ -44,11 +44,11 @@
   /// reading.
   using OnComplete = std::function<void(int64_t revision)>;
   /// Called when a call to the store failed.
-  using OnTrouble = std::function<void(StoreStatus, const std::string &why)>;
+  using OnStoreError = std::function<void(StoreStatus, const std::string &why)>;
 
   PrefixFollower(utils::EventLoop &loop, const Store &store, std::string prefix,
                  FollowTiming timing, OnChange onChange, OnComplete onComplete,
-                 OnTrouble onStoreError);
+                 OnStoreError onStoreError);
   ~PrefixFollower();
   PrefixFollower(const PrefixFollower &) = delete;
   PrefixFollower &operator=(const PrefixFollower &) = delete;
@@ -83,7 +83,7 @@
   const FollowTiming Timing;
   const OnChange NotifyChange;
   const OnComplete NotifyComplete;
-  const OnTrouble NotifyStoreError;
+  const OnStoreError NotifyStoreError;
   /// Number of the current reading and its watches. Answers to an earlier
   /// round, or after destruction, are ignored.
   std::shared_ptr<uint64_t> Round = std::make_shared<uint64_t>(0);
