--- a/src/libs/agent/agentservice.cpp
+++ b/src/libs/agent/agentservice.cpp
@@ -68,7 +68,7 @@
           {"profile_version", ConfigVersion}};
 }
 
-void AgentService::sendToEntries() {
+void AgentService::sendHeartbeats() {
   core::WorkerInfo info = Settings.Worker;
   info.Address = Server->address();
   // The same message serves as a heartbeat, lists the tasks of this worker, and
@@ -134,7 +134,7 @@
   return {Leader};
 }
 
-void AgentService::renewLease(endpoints::BackendClient &backend) {
+void AgentService::renewTaskLeases(endpoints::BackendClient &backend) {
   int leftMs = 0;
   {
     absl::MutexLock lock(&Mu);
@@ -168,8 +168,8 @@
   absl::Time next;
   do {
     next = steadyNow() + absl::Milliseconds(Settings.HeartbeatMs);
-    sendToEntries();
-    renewLease(backend);
+    sendHeartbeats();
+    renewTaskLeases(backend);
     // A reservation whose Run message never arrives, because the entry crashed
     // or abandoned the gang, would occupy accelerators forever.
     for (const std::string &run : Tasks.dropExpired(steadyNow()))
@@ -315,7 +315,7 @@
     return;
   Draining = true;
   logEvent(Event::ProcessStopping, {{"worker", Settings.Worker.Id}});
-  sendToEntries();
+  sendHeartbeats();
   if (!waitUntilIdle(steadyNow() + drainTimeout)) {
     Tasks.requestStopAll();
     waitUntilIdle(steadyNow() + CheckpointTimeout);
--- a/src/libs/agent/agentservice.h
+++ b/src/libs/agent/agentservice.h
@@ -50,12 +50,12 @@
   endpoints::Message onRequest(const endpoints::Message &message);
   void stopLeftoverTasks();
   void runHeartbeats();
-  void sendToEntries();
+  void sendHeartbeats();
   std::vector<std::shared_ptr<endpoints::RequestChannel>> heartbeatTargets();
   void handleAck(const endpoints::Ack &ack,
                  const std::shared_ptr<endpoints::RequestChannel> &entry,
                  absl::Time sent);
-  void renewLease(endpoints::BackendClient &backend);
+  void renewTaskLeases(endpoints::BackendClient &backend);
   void runTasks();
   void stopTasks();
   void reportResults();
@@ -72,8 +72,10 @@
   int64_t Epoch = 0;
   int64_t ConfigVersion = 0;
   std::shared_ptr<endpoints::RequestChannel> Leader;
+  /// The leader answered the last heartbeat.
   bool LeaderAnswered = false;
   uint64_t HeartbeatCount = 0;
+  /// When the last heartbeat that the leader answered was sent.
   absl::Time LastLeaderContact = absl::InfinitePast();
   std::atomic<int> TaskLeaseMs{DefaultTaskLeaseMs};
 
--- a/src/libs/agent/startbook.cpp
+++ b/src/libs/agent/startbook.cpp
@@ -48,10 +48,10 @@
   return runs;
 }
 
-std::vector<RunId> StartBook::mayStillBegin(bool nobodyListens) const {
+std::vector<RunId> StartBook::mayStillBegin(bool nothingListens) const {
   std::vector<RunId> runs;
   for (const auto &[run, start] : Starts)
-    if (!start.Listed && !(start.Accepted && nobodyListens))
+    if (!start.Listed && !(start.Accepted && nothingListens))
       runs.push_back(run);
   return runs;
 }
--- a/src/libs/agent/startbook.h
+++ b/src/libs/agent/startbook.h
@@ -33,9 +33,9 @@
   std::vector<endpoints::RunId> justBegun() const;
   /// Returns the runs that this incarnation never listed and that the next one
   /// under its id may have or still receive. If nothing listens at the worker's
-  /// address any more (nobodyListens), the runs that it accepted are excluded,
+  /// address any more (nothingListens), the runs that it accepted are excluded,
   /// because they ended with its process.
-  std::vector<endpoints::RunId> mayStillBegin(bool nobodyListens) const;
+  std::vector<endpoints::RunId> mayStillBegin(bool nothingListens) const;
 
 private:
   struct Start {
--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -87,7 +87,7 @@
 
 void WorkerAgent::recordWorkerClock(int64_t clockMs) {
   // The answer may have been delayed. The worker's clock is then ahead of this
-  // estimate, so tasks that are kept alive expire earlier, never later.
+  // estimate, so tasks expire earlier than granted, never later.
   if (clockMs <= 0)
     return;
   ClockOffset = clockMs - toMs(Loop.now());
@@ -126,9 +126,10 @@
   // its ends from the start again. Therefore the call acknowledges ends only
   // while the worker lists some that are recorded, and does not wait in that
   // case.
-  const bool canForget = OldestEndNumber != 0 && OldestEndNumber <= SeenUpto;
-  call.SeenUpto = canForget ? SeenUpto : 0;
-  call.WaitMs = canForget ? 0 : waitMs;
+  const bool canAcknowledge =
+      OldestEndNumber != 0 && OldestEndNumber <= SeenUpto;
+  call.SeenUpto = canAcknowledge ? SeenUpto : 0;
+  call.WaitMs = canAcknowledge ? 0 : waitMs;
   return call;
 }
 
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -77,6 +77,8 @@
   endpoints::Message onMessage(const endpoints::Message &message);
   endpoints::Ack onOrders(const endpoints::WorkerOrders &orders);
 
+  /// Returns whether the outcome comes from another incarnation than the called
+  /// one.
   static bool isOtherIncarnation(const endpoints::CallOutcome &outcome,
                                  const endpoints::WorkerLife &incarnation);
   /// Applies a heartbeat of the served incarnation.
@@ -91,10 +93,10 @@
   void resolveUnansweredStarts(const endpoints::WorkerLife &ended);
   void resolveUnansweredStart(const endpoints::WorkerLife &ended,
                               const endpoints::RunId &run);
-  void recordEnd(endpoints::LifeEnd end);
+  void recordIncarnationEnd(endpoints::LifeEnd end);
   void logIgnoredHeartbeat(const endpoints::Heartbeat &heartbeat);
   bool hasEnded(const endpoints::WorkerLife &incarnation) const;
-  void removeEnd(const endpoints::WorkerLife &incarnation);
+  void removeIncarnationEnd(const endpoints::WorkerLife &incarnation);
 
   void sendKeepAlive(int64_t waitMs);
   endpoints::HoldCall makeKeepAliveCall(int64_t waitMs) const;
@@ -102,14 +104,18 @@
   void onKeepAliveReply(uint64_t number, int64_t epoch,
                         const endpoints::HoldReply &reply);
   absl::Duration pauseBeforePoll() const;
+  /// Counts a failed poll, and reports the worker as unreachable after several.
   void recordFailedPoll(const std::string &why);
   void recordWorkerClock(int64_t clockMs);
+  /// Returns the time on the worker's clock until which the grant allows its
+  /// tasks to run; zero if the grant has expired or the clock is unknown.
   int64_t keepAliveUntilMs() const;
 
   void startTask(const OrderPtr &order);
   void onStarted(const OrderPtr &order, const endpoints::CallOutcome &outcome);
   void stopTask(const OrderPtr &order);
   void onStopped(const OrderPtr &order, const endpoints::CallOutcome &outcome);
+  /// Completes the stops whose runs the lists of this call no longer contain.
   void resolveStops(uint64_t callNumber);
   void completeOrder(const RunKey &run, endpoints::OrderOutcome outcome,
                      const std::string &detail);
@@ -154,12 +160,14 @@
   /// Worker clock minus boot clock in milliseconds, as of the last answer.
   std::optional<int64_t> ClockOffset;
 
+  /// Highest leader epoch received.
   int64_t Epoch = 0;
   /// Until when the leader lets this agent keep the worker's tasks alive.
   absl::Time GrantEnd = absl::InfinitePast();
   bool GrantEndLogged = false;
   /// Number up to which the leader has recorded ends of this incarnation.
   int64_t SeenUpto = 0;
+  /// Speed of the worker as the last leader reported it.
   endpoints::LearnedSpeed Speed;
 
   // The lists of the worker's last answer.
--- a/src/libs/agent/workeragent_life.cpp
+++ b/src/libs/agent/workeragent_life.cpp
@@ -104,7 +104,7 @@
       return;
     ProbedIncarnation = {};
     if (isOtherIncarnation(reply.Outcome, heartbeat.Worker.Life)) {
-      recordEnd({heartbeat.Worker.Life});
+      recordIncarnationEnd({heartbeat.Worker.Life});
       return;
     }
     if (reply.Outcome.Status != CallStatus::Ok)
@@ -118,7 +118,7 @@
 void WorkerAgent::beginIncarnation(const Heartbeat &heartbeat) {
   if (!State.Life.empty())
     endIncarnation("a new incarnation answers", EndReason::Superseded);
-  removeEnd(heartbeat.Worker.Life);
+  removeIncarnationEnd(heartbeat.Worker.Life);
   State = heartbeat.Worker;
   LastHeartbeatSequence = heartbeat.Sequence;
   LastHeartbeatAt = Loop.now();
@@ -148,7 +148,7 @@
                                     {"crashed", end.Crashed},
                                     {"just_begun", end.JustBegun.size()},
                                     {"may_begin", end.MayStillBegin.size()}});
-  recordEnd(std::move(end));
+  recordIncarnationEnd(std::move(end));
   resolveUnansweredStarts(State.Life);
   SentStarts = {};
   State = {};
@@ -206,7 +206,7 @@
   });
 }
 
-void WorkerAgent::recordEnd(LifeEnd end) {
+void WorkerAgent::recordIncarnationEnd(LifeEnd end) {
   if (hasEnded(end.Life))
     return;
   EndedIncarnations.push_back(std::move(end));
@@ -223,7 +223,7 @@
 }
 
 // Called when an incarnation that counted as ended is still running.
-void WorkerAgent::removeEnd(const WorkerLife &incarnation) {
+void WorkerAgent::removeIncarnationEnd(const WorkerLife &incarnation) {
   IgnoredIncarnations.erase(incarnation);
   std::erase_if(EndedIncarnations,
                 [&](const LifeEnd &end) { return end.Life == incarnation; });
@@ -237,7 +237,7 @@
   if (incarnation == State.Life || (anyIncarnation && State.Draining))
     endIncarnation("the worker deregistered", EndReason::Deregistered);
   else if (!anyIncarnation)
-    recordEnd({incarnation});
+    recordIncarnationEnd({incarnation});
 }
 
 } // namespace oriolebay::agent
--- a/src/libs/platform/election.cpp
+++ b/src/libs/platform/election.cpp
@@ -89,7 +89,7 @@
     return;
   }
   Lease = reply.Value.Id;
-  LeaseConfirmed = sent;
+  LeaseConfirmedAt = sent;
   DeferUntil = absl::InfinitePast();
   registerEntry();
   campaign();
@@ -137,9 +137,9 @@
   if (!reply.ok()) {
     NotifyStoreError(reply.Status, reply.Why);
   } else {
-    LeaseConfirmed = sent;
+    LeaseConfirmedAt = sent;
     if (KnownLeadership.Mine)
-      Confirmed = sent;
+      ConfirmedAt = sent;
   }
   scheduleRenewal();
   // The key may have been removed while this entry's watch delivered no events.
@@ -170,7 +170,7 @@
   }
   const bool mine = Lease != 0 && event.Item.Lease == Lease && !Resigned;
   if (mine)
-    Confirmed = LeaseConfirmed;
+    ConfirmedAt = LeaseConfirmedAt;
   setLeadership({event.Item.CreateRevision, event.Item.Value, mine});
 }
 
--- a/src/libs/platform/election.h
+++ b/src/libs/platform/election.h
@@ -67,12 +67,14 @@
   const Leadership &leadership() const { return KnownLeadership; }
   /// Returns when the store last confirmed this entry's lease while it led: the
   /// time on the boot clock at which the confirmed call was sent.
-  absl::Time confirmed() const { return Confirmed; }
+  absl::Time confirmed() const { return ConfirmedAt; }
   /// Ends the lease and leaves the election. Calls done after the call to the
   /// store has ended, with or without success.
   void resign(std::function<void()> done);
 
 private:
+  /// Wraps handler so that it is not called after the destruction of this
+  /// object.
   template <class T> OnStoreReply<T> guarded(OnStoreReply<T> handler);
   void requestLease();
   void onLeaseGranted(const StoreReply<StoreLease> &reply, absl::Time sent);
@@ -83,7 +85,10 @@
   void handleLeaseLoss();
   void onLeaderKey(const StoreEvent &event);
   void onViewComplete();
+  /// Returns whether this entry currently leaves the election to a larger
+  /// entry. Starts the waiting time on the first call.
   bool deferToLargerEntry();
+  /// Tries to create the leader's key, if no entry leads.
   void campaign();
   void setLeadership(Leadership next);
   absl::Duration renewalPeriod() const;
@@ -96,8 +101,8 @@
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   PrefixFollower Follower;
   int64_t Lease = 0;
-  absl::Time LeaseConfirmed = absl::InfinitePast();
-  absl::Time Confirmed = absl::InfinitePast();
+  absl::Time LeaseConfirmedAt = absl::InfinitePast();
+  absl::Time ConfirmedAt = absl::InfinitePast();
   /// The leader's key has been read at least once.
   bool ViewComplete = false;
   /// The transaction that creates the leader's key is in progress.
--- a/src/libs/platform/leaderelection.cpp
+++ b/src/libs/platform/leaderelection.cpp
@@ -43,7 +43,7 @@
 
 absl::Time LeaderElection::confirmed() const {
   absl::MutexLock lock(&Mu);
-  return Confirmed;
+  return ConfirmedAt;
 }
 
 void LeaderElection::stop() {
@@ -94,7 +94,7 @@
   const bool mine = current->Lease == Lease && Lease != 0;
   if (mine) {
     absl::MutexLock lock(&Mu);
-    Confirmed = sent;
+    ConfirmedAt = sent;
   }
   setLeadership(Leadership{current->CreateRevision, current->Value, mine});
   return {};
@@ -136,7 +136,7 @@
 void LeaderElection::resign() {
   absl::MutexLock lock(&Mu);
   Resigned = true;
-  Confirmed = absl::InfinitePast();
+  ConfirmedAt = absl::InfinitePast();
   auto done = Kv.revokeLease(Lease);
   (void)done;
 }
--- a/src/libs/platform/leaderelection.h
+++ b/src/libs/platform/leaderelection.h
@@ -75,7 +75,7 @@
   int64_t NextRevision = 0;
   Leadership KnownLeadership;
   mutable absl::Mutex Mu;
-  absl::Time Confirmed = absl::InfinitePast();
+  absl::Time ConfirmedAt = absl::InfinitePast();
   bool Resigned = false;
   absl::Notification StopRequested;
   std::thread Thread;
