--- a/src/libs/platform/kvclient.cpp
+++ b/src/libs/platform/kvclient.cpp
@@ -113,7 +113,7 @@
   // Reads in pages, because the store limits the size of an answer, and at the
   // target size of the system the gang records alone exceed this limit. The
   // revision is that of the first page, so that a watch from there misses no
-  // change that later pages may or may not include.
+  // change that was made while the later pages were read.
   for (bool first = true, more = true; more; first = false) {
     BOOST_LEAF_AUTO(reply,
                     post("/v3/kv/range",
