--- a/tests/auto/jobs/simsite.cpp
+++ b/tests/auto/jobs/simsite.cpp
@@ -10,13 +10,13 @@
 namespace {
 constexpr double CoresPerAccelerator = 8;
 
-TaskId idOf(const std::string &name) {
+TaskId taskIdOf(const std::string &name) {
   TaskId id;
   core::parseTaskName(name, id);
   return id;
 }
 
-double weightOf(const core::Resources &r) {
+double coreEquivalents(const core::Resources &r) {
   return static_cast<double>(r.MilliCores) / 1000 +
          CoresPerAccelerator * static_cast<double>(r.Accelerators);
 }
@@ -52,110 +52,117 @@
   Scheduler->onConfig(Config);
 }
 
-SimSite::Worker &SimSite::addWorker(const std::string &life,
+SimSite::Worker &SimSite::addWorker(const std::string &incarnation,
                                     const std::string &rack,
                                     core::Resources capacity) {
-  Worker &w = Workers[life];
-  w.State.Life = {life, 1};
+  Worker &w = Workers[incarnation];
+  w.State.Life = {incarnation, 1};
   w.State.Service = "service";
   w.State.Rack = rack;
   w.State.Labels = {"a", rack};
   w.State.Capacity = capacity;
-  w.Agent = "agent-of-" + life;
+  w.Agent = "agent-of-" + incarnation;
   return w;
 }
 
-void SimSite::crash(const std::string &life, const std::string &newLife) {
-  Worker old = std::move(Workers.at(life));
-  Workers.erase(life);
-  for (const auto &[run, state] : old.Runs)
-    Wasted += absl::ToDoubleSeconds(state.Worked -
-                                    saved(state, idOf(run.Task), false)) *
-              weightOf(specOf(idOf(run.Task)).PerTask);
-  if (newLife.empty())
+void SimSite::crash(const std::string &incarnation,
+                    const std::string &newIncarnation) {
+  Worker previous = std::move(Workers.at(incarnation));
+  Workers.erase(incarnation);
+  for (const auto &[run, state] : previous.Runs)
+    LostWork +=
+        absl::ToDoubleSeconds(state.WorkDone -
+                              savedWork(state, taskIdOf(run.Task), false)) *
+        coreEquivalents(stepOf(taskIdOf(run.Task)).PerTask);
+  if (newIncarnation.empty())
     return;
-  Worker &w = addWorker(newLife, old.State.Rack, old.State.Capacity);
-  w.Agent = old.Agent;
+  Worker &w =
+      addWorker(newIncarnation, previous.State.Rack, previous.State.Capacity);
+  w.Agent = previous.Agent;
 }
 
-void SimSite::fall(const std::string &life) {
-  Fallen fallen{Workers.at(life), Now + NoticedAfter, Now + BackAfter};
-  endpoints::LifeEnd end{fallen.Before.State.Life, true, {}, true, {}};
-  for (const auto &[run, state] : fallen.Before.Runs) {
-    if (Now - state.Began < endpoints::CrashShowsWithin)
+void SimSite::crashAndRestart(const std::string &incarnation) {
+  CrashedWorker crashed{Workers.at(incarnation), Now + CrashDetectionDelay,
+                        Now + RestartDelay};
+  endpoints::LifeEnd end{crashed.LastState.State.Life, true, {}, true, {}};
+  for (const auto &[run, state] : crashed.LastState.Runs) {
+    if (Now - state.StartedAt < endpoints::CrashShowsWithin)
       end.JustBegun.push_back(run);
-    if (CrashesWorker && CrashesWorker(idOf(run.Task)))
-      ++CrashesUnder[run.Task];
+    if (CrashesWorker && CrashesWorker(taskIdOf(run.Task)))
+      ++CrashesByTask[run.Task];
   }
-  crash(life);
-  fallen.Before.EndedLives.push_back(std::move(end));
-  Down.push_back(std::move(fallen));
+  crash(incarnation);
+  crashed.LastState.EndedLives.push_back(std::move(end));
+  CrashedWorkers.push_back(std::move(crashed));
 }
 
-void SimSite::shrink(const std::string &life, core::Resources capacity) {
-  Workers.at(life).State.Capacity = capacity;
-  report(Workers.at(life));
-  pump();
+void SimSite::setCapacity(const std::string &incarnation,
+                          core::Resources capacity) {
+  Workers.at(incarnation).State.Capacity = capacity;
+  sendReport(Workers.at(incarnation));
+  exchangeMessages();
 }
 
-int SimSite::crashesUnder(const std::string &task) const {
-  auto it = CrashesUnder.find(task);
-  return it == CrashesUnder.end() ? 0 : it->second;
+int SimSite::crashesCausedBy(const std::string &task) const {
+  auto it = CrashesByTask.find(task);
+  return it == CrashesByTask.end() ? 0 : it->second;
 }
 
-// Its agent finds that nobody answers; then the next life shows up.
-void SimSite::serveFallen() {
-  std::vector<Fallen> still;
-  for (Fallen &one : std::exchange(Down, {})) {
-    if (!one.Noticed && Now >= one.NoticedAt) {
-      one.Noticed = true;
+// First the agent detects that its worker does not answer and reports the end;
+// later the next incarnation reports.
+void SimSite::processCrashedWorkers() {
+  std::vector<CrashedWorker> remaining;
+  for (CrashedWorker &crashedWorker : std::exchange(CrashedWorkers, {})) {
+    if (!crashedWorker.Detected && Now >= crashedWorker.DetectedAt) {
+      crashedWorker.Detected = true;
       endpoints::WorkerReport r;
-      r.Agent = one.Before.Agent;
-      r.AgentAddress = one.Before.Agent;
-      r.EndedLives = one.Before.EndedLives;
+      r.Agent = crashedWorker.LastState.Agent;
+      r.AgentAddress = crashedWorker.LastState.Agent;
+      r.EndedLives = crashedWorker.LastState.EndedLives;
       Scheduler->onReport(r, Now);
     }
-    if (Now < one.BackAt) {
-      still.push_back(std::move(one));
+    if (Now < crashedWorker.RestartsAt) {
+      remaining.push_back(std::move(crashedWorker));
       continue;
     }
-    const endpoints::WorkerState &old = one.Before.State;
-    Worker &w = addWorker(old.Life.Id + "'", old.Rack, old.Capacity);
-    w.Agent = one.Before.Agent;
-    w.EndedLives = one.Before.EndedLives;
-    report(w);
+    const endpoints::WorkerState &previous = crashedWorker.LastState.State;
+    Worker &w =
+        addWorker(previous.Life.Id + "'", previous.Rack, previous.Capacity);
+    w.Agent = crashedWorker.LastState.Agent;
+    w.EndedLives = crashedWorker.LastState.EndedLives;
+    sendReport(w);
   }
-  Down = std::move(still);
+  CrashedWorkers = std::move(remaining);
 }
 
-// At most two starts may follow the third crash.
+// At most two starts of a task may follow the third crash that it caused.
 void SimSite::countStart(const std::string &task) {
-  if (crashesUnder(task) >= 3 && ++StartsAfterThird[task] == 3)
-    Violations.push_back(task + " started three times more after three "
-                                "workers had crashed under it");
+  if (crashesCausedBy(task) >= 3 && ++StartsAfterThirdCrash[task] == 3)
+    Violations.push_back(
+        task + " was started three times after it had crashed three workers");
 }
 
-void SimSite::leave(const std::string &life, absl::Duration notice) {
-  auto it = Workers.find(life);
+void SimSite::leave(const std::string &incarnation, absl::Duration notice) {
+  auto it = Workers.find(incarnation);
   if (it == Workers.end())
     return;
   it->second.State.Draining = true;
-  it->second.LeavesAt = Now + notice;
-  report(it->second);
+  it->second.ShutsDownAt = Now + notice;
+  sendReport(it->second);
 }
 
-// The agent beside it reports that its worker has ended.
-void SimSite::goAway(const std::string &life) {
+// The agent beside the worker reports that the worker has ended.
+void SimSite::shutDown(const std::string &incarnation) {
   endpoints::WorkerReport r;
-  r.Agent = Workers.at(life).Agent;
+  r.Agent = Workers.at(incarnation).Agent;
   r.AgentAddress = r.Agent;
-  r.EndedLives = {{Workers.at(life).State.Life}};
-  crash(life);
+  r.EndedLives = {{Workers.at(incarnation).State.Life}};
+  crash(incarnation);
   Scheduler->onReport(r, Now);
 }
 
 void SimSite::submit(core::JobSpec spec, int priority, int attempts) {
-  Stored &job = Jobs[spec.Id];
+  StoredJob &job = Jobs[spec.Id];
   job.Record.Spec = std::move(spec);
   job.Record.Service = "service";
   job.Record.Priority = priority;
@@ -165,17 +172,17 @@
     job.Record.TargetLatencyMs = queue->TargetLatencyMs;
   }
   job.RecordRevision = ++Revision;
-  job.HandedIn = Now;
+  job.SubmittedAt = Now;
   Scheduler->onRecord(job.Record, job.RecordRevision, Now);
-  pump();
+  exchangeMessages();
 }
 
 void SimSite::cancel(const std::string &jobId) {
-  Stored &job = Jobs.at(jobId);
+  StoredJob &job = Jobs.at(jobId);
   job.Record.Cancelled = true;
   job.RecordRevision = ++Revision;
   Scheduler->onRecord(job.Record, job.RecordRevision, Now);
-  pump();
+  exchangeMessages();
 }
 
 void SimSite::changeLeader() {
@@ -196,11 +203,11 @@
             return false;
           });
   }
-  for (auto &[life, worker] : Workers)
-    worker.FenceSeen = Epoch;
+  for (auto &[incarnation, worker] : Workers)
+    worker.ObservedEpoch = Epoch;
 }
 
-const core::StepSpec &SimSite::specOf(const TaskId &id) const {
+const core::StepSpec &SimSite::stepOf(const TaskId &id) const {
   return Jobs.at(id.Job).Record.Spec.Steps.at(static_cast<size_t>(id.Step));
 }
 
@@ -208,158 +215,165 @@
   return {id.Job, id.Occurrence, id.Step, run};
 }
 
-void SimSite::listGangs() {
+void SimSite::updateGangs() {
   Gangs.clear();
-  for (const auto &[life, worker] : Workers)
+  for (const auto &[incarnation, worker] : Workers)
     for (const auto &[key, run] : worker.Runs) {
-      const TaskId id = idOf(key.Task);
-      if (!specOf(id).Gang)
+      const TaskId id = taskIdOf(key.Task);
+      if (!stepOf(id).Gang)
         continue;
       GangRun &gang = Gangs[gangKey(id, key.Run)];
-      ++gang.Present;
+      ++gang.RunningMembers;
       gang.Racks.insert(worker.State.Rack);
     }
 }
 
-bool SimSite::gangPresent(const TaskId &id, int64_t run) const {
+bool SimSite::isGangComplete(const TaskId &id, int64_t run) const {
   auto it = Gangs.find(gangKey(id, run));
-  return it != Gangs.end() && it->second.Present == specOf(id).Count;
+  return it != Gangs.end() && it->second.RunningMembers == stepOf(id).Count;
 }
 
-bool SimSite::gangSpread(const TaskId &id, int64_t run) const {
+bool SimSite::isGangAcrossRacks(const TaskId &id, int64_t run) const {
   auto it = Gangs.find(gangKey(id, run));
   return it != Gangs.end() && it->second.Racks.size() > 1;
 }
 
-// A stop saves all; otherwise what the last checkpoint holds.
-absl::Duration SimSite::saved(const Run &run, const TaskId &id,
-                              bool byStop) const {
-  if (!specOf(id).Checkpoints)
+// A stopped run saves all of its work; any other run keeps what its last
+// checkpoint holds.
+absl::Duration SimSite::savedWork(const Run &run, const TaskId &id,
+                                  bool byStop) const {
+  if (!stepOf(id).Checkpoints)
     return absl::ZeroDuration();
   if (byStop)
-    return run.Worked;
-  return absl::Floor(run.Worked, CheckpointEvery);
+    return run.WorkDone;
+  return absl::Floor(run.WorkDone, CheckpointInterval);
 }
 
-void SimSite::end(Worker &worker, const RunId &run, RunEnd how) {
+void SimSite::endRun(Worker &worker, const RunId &run, RunEnd how) {
   auto it = worker.Runs.find(run);
   if (it == worker.Runs.end())
     return;
-  const TaskId id = idOf(run.Task);
-  absl::Duration kept = absl::ZeroDuration();
+  const TaskId id = taskIdOf(run.Task);
+  absl::Duration savedTime = absl::ZeroDuration();
   if (how == RunEnd::Done)
     DoneTasks.insert(run.Task);
   else
-    kept = saved(it->second, id, how == RunEnd::Stopped);
+    savedTime = savedWork(it->second, id, how == RunEnd::Stopped);
   if (how != RunEnd::Done)
-    Wasted += absl::ToDoubleSeconds(it->second.Worked - kept) *
-              weightOf(specOf(id).PerTask);
+    LostWork += absl::ToDoubleSeconds(it->second.WorkDone - savedTime) *
+                coreEquivalents(stepOf(id).PerTask);
   worker.Runs.erase(it);
-  worker.Ended.push_back({worker.NextEnd++, run.Task, run.Run, how,
-                          kept > absl::ZeroDuration()
-                              ? std::to_string(absl::ToInt64Milliseconds(kept))
-                              : ""});
-  if (!specOf(id).Gang)
+  worker.Ended.push_back(
+      {worker.NextEndNumber++, run.Task, run.Run, how,
+       savedTime > absl::ZeroDuration()
+           ? std::to_string(absl::ToInt64Milliseconds(savedTime))
+           : ""});
+  if (!stepOf(id).Gang)
     return;
   Gangs.erase(gangKey(id, run.Run));
   const RunEnd others = how == RunEnd::Done ? RunEnd::Done : RunEnd::Broken;
-  for (auto &[life, w] : Workers) {
+  for (auto &[incarnation, w] : Workers) {
     std::vector<RunId> members;
     for (const auto &[key, state] : w.Runs) {
-      const TaskId other = idOf(key.Task);
+      const TaskId other = taskIdOf(key.Task);
       if (other.Job == id.Job && other.Occurrence == id.Occurrence &&
           other.Step == id.Step && key.Run == run.Run)
         members.push_back(key);
     }
     for (const RunId &key : members)
-      end(w, key, others);
+      endRun(w, key, others);
   }
 }
 
-void SimSite::work(Worker &worker) {
+void SimSite::advanceRuns(Worker &worker) {
   std::vector<std::pair<RunId, RunEnd>> ends;
   for (auto &[key, run] : worker.Runs) {
-    const TaskId id = idOf(key.Task);
+    const TaskId id = taskIdOf(key.Task);
     if (run.Stopping && Now >= run.StopAt) {
       ends.emplace_back(key, RunEnd::Stopped);
       continue;
     }
-    const core::StepSpec &spec = specOf(id);
-    if (worker.Hangs || (spec.Gang && !gangPresent(id, key.Run)))
+    const core::StepSpec &spec = stepOf(id);
+    if (worker.Hangs || (spec.Gang && !isGangComplete(id, key.Run)))
       continue;
     if (worker.FailsAll) {
       ends.emplace_back(key, RunEnd::Failed);
       continue;
     }
     double rate = 1 / worker.Slowness;
-    if (spec.SameRack && gangSpread(id, key.Run))
+    if (spec.SameRack && isGangAcrossRacks(id, key.Run))
       rate /= Policy.RemoteFactor;
     if (!spec.DataRack.empty() && spec.DataRack != worker.State.Rack)
       rate /= Policy.RemoteFactor;
-    run.Worked += absl::Milliseconds(StepMs) * rate;
-    if (run.Worked >= run.Needs)
+    run.WorkDone += absl::Milliseconds(StepMs) * rate;
+    if (run.WorkDone >= run.RequiredWork)
       ends.emplace_back(key, FailsItself && FailsItself(id, key.Run)
                                  ? RunEnd::Failed
                                  : RunEnd::Done);
   }
   for (const auto &[key, how] : ends)
-    end(worker, key, how);
+    endRun(worker, key, how);
 }
 
-std::string SimSite::runningSaved(const Run &run, const TaskId &id) const {
-  const absl::Duration kept = saved(run, id, false);
-  return kept > absl::ZeroDuration()
-             ? std::to_string(absl::ToInt64Milliseconds(kept))
+std::string SimSite::runningCheckpoint(const Run &run, const TaskId &id) const {
+  const absl::Duration savedTime = savedWork(run, id, false);
+  return savedTime > absl::ZeroDuration()
+             ? std::to_string(absl::ToInt64Milliseconds(savedTime))
              : "";
 }
 
-void SimSite::report(Worker &worker) {
-  if (worker.CutOff)
+void SimSite::sendReport(Worker &worker) {
+  if (worker.Partitioned)
     return;
   endpoints::WorkerReport r;
   r.Agent = worker.Agent;
   r.AgentAddress = worker.Agent;
   r.Worker = worker.State;
   if (worker.State.Draining)
-    r.Worker.RemainingMs = absl::ToInt64Milliseconds(worker.LeavesAt - Now);
+    r.Worker.RemainingMs = absl::ToInt64Milliseconds(worker.ShutsDownAt - Now);
   r.Sequence = ++worker.Sequence;
   r.EndedLives = worker.EndedLives;
-  r.Epoch = worker.FenceSeen;
+  r.Epoch = worker.ObservedEpoch;
   r.Speed = worker.Speed;
   for (const auto &[key, run] : worker.Runs)
     r.Running.push_back(
-        {key.Task, key.Run, runningSaved(run, idOf(key.Task)),
-         static_cast<int>(100 * absl::FDivDuration(run.Worked, run.Needs))});
+        {key.Task, key.Run, runningCheckpoint(run, taskIdOf(key.Task)),
+         static_cast<int>(100 *
+                          absl::FDivDuration(run.WorkDone, run.RequiredWork))});
   r.Ended = worker.Ended;
   r.Results = std::exchange(worker.Results, {});
-  worker.SeenUpto = std::max(worker.SeenUpto, Scheduler->onReport(r, Now));
+  worker.AcknowledgedUpto =
+      std::max(worker.AcknowledgedUpto, Scheduler->onReport(r, Now));
   worker.Speed = Scheduler->speedOf(worker.Agent);
   worker.Ended.erase(std::remove_if(worker.Ended.begin(), worker.Ended.end(),
                                     [&](const auto &e) {
-                                      return e.Number <= worker.SeenUpto;
+                                      return e.Number <=
+                                             worker.AcknowledgedUpto;
                                     }),
                      worker.Ended.end());
 }
 
-void SimSite::checkOneRun(const endpoints::StartOrder &order) {
+void SimSite::checkTaskRunsOnce(const endpoints::StartOrder &order) {
   if (DoneTasks.count(order.Task) != 0)
-    Violations.push_back(order.Task + " started after it was done");
-  for (const auto &[life, worker] : Workers)
+    Violations.push_back(order.Task + " was started after it was done");
+  for (const auto &[incarnation, worker] : Workers)
     for (const auto &[key, run] : worker.Runs)
       if (key.Task == order.Task && key.Run != order.Run)
         Violations.push_back(order.Task + " runs twice");
 }
 
-void SimSite::checkRoom(const Worker &worker) {
+void SimSite::checkCapacity(const Worker &worker) {
   core::Resources used;
   for (const auto &[key, run] : worker.Runs)
-    used += specOf(idOf(key.Task)).room();
+    used += stepOf(taskIdOf(key.Task)).room();
   if (!used.fitsIn(worker.State.Capacity))
-    Violations.push_back(worker.State.Life.Id + " has more than it holds");
+    Violations.push_back(worker.State.Life.Id + " runs more than its capacity");
 }
 
-void SimSite::obey(Worker &worker, const endpoints::WorkerOrders &orders) {
-  if (worker.CutOff || worker.LosesOrders || orders.Life != worker.State.Life)
+void SimSite::executeOrders(Worker &worker,
+                            const endpoints::WorkerOrders &orders) {
+  if (worker.Partitioned || worker.DropsOrders ||
+      orders.Life != worker.State.Life)
     return;
   for (const endpoints::StopOrder &stop : orders.Stops) {
     auto it = worker.Runs.find({stop.Task, stop.Run});
@@ -369,7 +383,8 @@
     } else if (!it->second.Stopping) {
       it->second.Stopping = true;
       it->second.StopAt =
-          Now + (StopTakesOf ? StopTakesOf(idOf(stop.Task)) : StopTakes);
+          Now +
+          (StopDurationOf ? StopDurationOf(taskIdOf(stop.Task)) : StopTakes);
     }
   }
   for (const endpoints::StartOrder &start : orders.Starts) {
@@ -384,42 +399,44 @@
         {start.Task, start.Run, endpoints::OrderOutcome::Started, ""});
     if (known)
       continue;
-    checkOneRun(start);
-    const TaskId id = idOf(start.Task);
-    const core::StepSpec &spec = specOf(id);
+    checkTaskRunsOnce(start);
+    const TaskId id = taskIdOf(start.Task);
+    const core::StepSpec &spec = stepOf(id);
     Run run;
     run.Order = start;
-    run.Began = Now;
-    run.Needs = Work ? Work(id, spec) : absl::Milliseconds(spec.EstimateMs);
+    run.StartedAt = Now;
+    run.RequiredWork =
+        Work ? Work(id, spec) : absl::Milliseconds(spec.EstimateMs);
     if (!start.Saved.empty()) {
-      run.Worked = absl::Milliseconds(std::stoll(start.Saved));
-      run.Needs += absl::Milliseconds(RestoreMs);
+      run.WorkDone = absl::Milliseconds(std::stoll(start.Saved));
+      run.RequiredWork += absl::Milliseconds(RestoreMs);
     }
     worker.Runs[key] = run;
     ++Starts;
     countStart(start.Task);
     if (CrashesWorker && CrashesWorker(id))
-      worker.CrashesAt = Now + CrashAfter;
-    checkRoom(worker);
-    Stored &job = Jobs.at(id.Job);
-    if (!job.FirstStart)
-      job.FirstStart = Now;
+      worker.CrashesAt = Now + CrashDelay;
+    checkCapacity(worker);
+    StoredJob &job = Jobs.at(id.Job);
+    if (!job.FirstStartAt)
+      job.FirstStartAt = Now;
   }
 }
 
-void SimSite::pump() {
-  // Bounded, so that a scheduler that changes its mind for ever is noticed.
+void SimSite::exchangeMessages() {
+  // The number of rounds is limited, so that a scheduler that revises its
+  // decisions endlessly is detected.
   for (int round = 0; round < 20; ++round) {
     Scheduler->decide(Now);
     for (ProgressWrite &write : Scheduler->takeWrites()) {
-      Stored &job = Jobs.at(write.JobId);
+      StoredJob &job = Jobs.at(write.JobId);
       if (StoreDown) {
         Scheduler->onNotWritten(write.JobId);
         continue;
       }
       if (job.RecordRevision != write.RecordRevision ||
           job.ProgressRevision != write.ProgressRevision) {
-        // As the leader's duty settles a conflict.
+        // Resolves the conflict as the leader session does.
         utils::handle<bool>(
             [&]() -> utils::Result<bool> {
               if (job.ProgressRevision != write.ProgressRevision) {
@@ -443,20 +460,20 @@
       else
         Scheduler->onWritten(write.JobId, write.Progress.Version,
                              job.ProgressRevision, Now);
-      if (isFinal(state(write.JobId)) && !job.Over)
-        job.Over = Now;
+      if (isFinal(state(write.JobId)) && !job.EndedAt)
+        job.EndedAt = Now;
     }
     for (const Decision &d : Scheduler->takeDecisions())
       Log.push_back(d);
     const auto orders = Scheduler->takeOrders();
-    for (const auto &[address, one] : orders)
-      for (auto &[life, worker] : Workers)
+    for (const auto &[address, workerOrders] : orders)
+      for (auto &[incarnation, worker] : Workers)
         if (worker.Agent == address)
-          obey(worker, one);
+          executeOrders(worker, workerOrders);
     bool results = false;
-    for (auto &[life, worker] : Workers)
-      if (!worker.Results.empty() && !worker.CutOff) {
-        report(worker);
+    for (auto &[incarnation, worker] : Workers)
+      if (!worker.Results.empty() && !worker.Partitioned) {
+        sendReport(worker);
         results = true;
       }
     if ((orders.empty() && !results) || StoreDown || StoreLosesAnswers)
@@ -467,25 +484,25 @@
 void SimSite::step() {
   Now += absl::Milliseconds(StepMs);
   const int64_t ms = absl::ToInt64Milliseconds(Now - absl::UnixEpoch());
-  listGangs();
-  const bool beat = ms % ReportEveryMs == 0;
-  std::vector<std::string> lives;
-  for (const auto &[life, worker] : Workers)
-    lives.push_back(life);
-  for (const std::string &life : lives) {
-    work(Workers.at(life));
-    if (Now >= Workers.at(life).LeavesAt)
-      goAway(life);
-    else if (Now >= Workers.at(life).CrashesAt)
-      fall(life);
+  updateGangs();
+  const bool reportDue = ms % ReportIntervalMs == 0;
+  std::vector<std::string> incarnations;
+  for (const auto &[incarnation, worker] : Workers)
+    incarnations.push_back(incarnation);
+  for (const std::string &incarnation : incarnations) {
+    advanceRuns(Workers.at(incarnation));
+    if (Now >= Workers.at(incarnation).ShutsDownAt)
+      shutDown(incarnation);
+    else if (Now >= Workers.at(incarnation).CrashesAt)
+      crashAndRestart(incarnation);
   }
-  serveFallen();
-  for (auto &[life, worker] : Workers)
-    if (beat || !worker.Ended.empty())
-      report(worker);
+  processCrashedWorkers();
+  for (auto &[incarnation, worker] : Workers)
+    if (reportDue || !worker.Ended.empty())
+      sendReport(worker);
   if (ms % TickEveryMs == 0)
     Scheduler->tick(Now);
-  pump();
+  exchangeMessages();
 }
 
 void SimSite::runFor(absl::Duration time) {
@@ -494,19 +511,20 @@
     step();
 }
 
-bool SimSite::runUntilOver(absl::Duration limit) {
+bool SimSite::runUntilAllEnded(absl::Duration limit) {
   const absl::Time end = Now + limit;
-  auto allOver = [this] {
-    return std::all_of(Jobs.begin(), Jobs.end(),
-                       [](const auto &j) { return j.second.Over.has_value(); });
+  auto allEnded = [this] {
+    return std::all_of(Jobs.begin(), Jobs.end(), [](const auto &j) {
+      return j.second.EndedAt.has_value();
+    });
   };
-  while (Now < end && !allOver())
+  while (Now < end && !allEnded())
     step();
-  return allOver();
+  return allEnded();
 }
 
 JobState SimSite::state(const std::string &jobId) const {
-  const Stored &job = Jobs.at(jobId);
+  const StoredJob &job = Jobs.at(jobId);
   if (job.ProgressRevision == 0)
     return shownState(job.Record, nullptr);
   return utils::handle<JobState>(
@@ -517,27 +535,28 @@
       [](const utils::Error &) { return JobState::Queued; });
 }
 
-std::optional<absl::Duration> SimSite::waited(const std::string &jobId) const {
-  const Stored &job = Jobs.at(jobId);
-  if (!job.FirstStart)
+std::optional<absl::Duration>
+SimSite::waitTime(const std::string &jobId) const {
+  const StoredJob &job = Jobs.at(jobId);
+  if (!job.FirstStartAt)
     return std::nullopt;
-  return *job.FirstStart - job.HandedIn;
+  return *job.FirstStartAt - job.SubmittedAt;
 }
 
 std::optional<absl::Duration> SimSite::took(const std::string &jobId) const {
-  const Stored &job = Jobs.at(jobId);
-  if (!job.Over)
+  const StoredJob &job = Jobs.at(jobId);
+  if (!job.EndedAt)
     return std::nullopt;
-  return *job.Over - job.HandedIn;
+  return *job.EndedAt - job.SubmittedAt;
 }
 
-std::multiset<std::string> SimSite::placesOf(const std::string &jobId) const {
-  std::multiset<std::string> places;
-  for (const auto &[life, worker] : Workers)
+std::multiset<std::string> SimSite::workersOf(const std::string &jobId) const {
+  std::multiset<std::string> workers;
+  for (const auto &[incarnation, worker] : Workers)
     for (const auto &[key, run] : worker.Runs)
-      if (idOf(key.Task).Job == jobId)
-        places.insert(life);
-  return places;
+      if (taskIdOf(key.Task).Job == jobId)
+        workers.insert(incarnation);
+  return workers;
 }
 
 } // namespace oriolebay::jobs
--- a/tests/auto/jobs/simsite.h
+++ b/tests/auto/jobs/simsite.h
@@ -15,18 +15,18 @@
 
 namespace oriolebay::jobs {
 
-/// A site in memory for tests of the scheduler: workers that run what they are
-/// ordered, a store that keeps what is written, and a clock that the test
-/// moves. Everything is deterministic.
+/// Simulated site in memory for tests of the scheduler: workers that execute
+/// the scheduler's orders, a store that keeps its writes, and a clock that the
+/// test advances. Everything is deterministic.
 class SimSite {
 public:
   explicit SimSite(SchedulerPolicy policy = {});
 
   struct Run {
     endpoints::StartOrder Order;
-    absl::Time Began;
-    absl::Duration Needs;
-    absl::Duration Worked = absl::ZeroDuration();
+    absl::Time StartedAt;
+    absl::Duration RequiredWork;
+    absl::Duration WorkDone = absl::ZeroDuration();
     bool Stopping = false;
     absl::Time StopAt = absl::InfiniteFuture();
   };
@@ -34,145 +34,156 @@
     endpoints::WorkerState State;
     std::string Agent;
     int64_t Sequence = 0;
-    int64_t FenceSeen = 0;
-    int64_t NextEnd = 1;
-    int64_t SeenUpto = 0;
+    int64_t ObservedEpoch = 0;
+    int64_t NextEndNumber = 1;
+    int64_t AcknowledgedUpto = 0;
     std::map<RunId, Run> Runs;
     std::vector<endpoints::EndedTask> Ended;
     std::vector<endpoints::OrderResult> Results;
-    /// What the agent was told of its worker's speed last.
+    /// The speed of its worker that the leader last reported to the agent.
     endpoints::LearnedSpeed Speed;
-    /// Times that work takes there against a sound worker.
+    /// Factor by which work takes longer there than on a healthy worker.
     double Slowness = 1;
-    /// Every run fails after a moment.
+    /// Every run fails shortly after its start.
     bool FailsAll = false;
     /// Runs make no progress and never end.
     bool Hangs = false;
-    /// Nothing gets through in either direction.
-    bool CutOff = false;
-    /// Orders are swallowed.
-    bool LosesOrders = false;
-    absl::Time LeavesAt = absl::InfiniteFuture();
+    /// No message reaches the agent or is sent by it.
+    bool Partitioned = false;
+    /// The agent's orders are dropped.
+    bool DropsOrders = false;
+    absl::Time ShutsDownAt = absl::InfiniteFuture();
     absl::Time CrashesAt = absl::InfiniteFuture();
-    /// Earlier lives, as the agent beside it tells of them.
+    /// Ends of earlier incarnations, as the agent beside the worker reports
+    /// them.
     std::vector<endpoints::LifeEnd> EndedLives;
   };
 
-  /// Adds a worker with the resources of a whole one of the Brno site.
-  Worker &addWorker(const std::string &life, const std::string &rack,
+  /// Adds a worker, by default with the resources of a whole worker of the Brno
+  /// site.
+  Worker &addWorker(const std::string &incarnation, const std::string &rack,
                     core::Resources capacity = {32000, 65536, 8});
-  Worker &worker(const std::string &life) { return Workers.at(life); }
-  /// The worker dies and comes back as another life, or not at all.
-  void crash(const std::string &life, const std::string &newLife = "");
-  /// The worker crashes by itself: its agent notices, and it is back as another
-  /// life of its host after BackAfter.
-  void fall(const std::string &life);
-  /// The worker has another capacity from now on, and says so.
-  void shrink(const std::string &life, core::Resources capacity);
-  /// The worker says that it drains, and is gone after notice with all that
-  /// still runs there.
-  void leave(const std::string &life, absl::Duration notice);
+  Worker &worker(const std::string &incarnation) {
+    return Workers.at(incarnation);
+  }
+  /// Ends the worker's process and starts it again at once as newIncarnation,
+  /// or not at all if that is empty.
+  void crash(const std::string &incarnation,
+             const std::string &newIncarnation = "");
+  /// Crashes the worker. Its agent detects that after CrashDetectionDelay, and
+  /// the worker starts again as another incarnation on the same host after
+  /// RestartDelay.
+  void crashAndRestart(const std::string &incarnation);
+  /// Changes the worker's capacity and sends a report of it.
+  void setCapacity(const std::string &incarnation, core::Resources capacity);
+  /// Lets the worker report that it drains, and shuts it down after notice
+  /// together with everything that still runs there.
+  void leave(const std::string &incarnation, absl::Duration notice);
 
   void configure(core::SiteConfig config);
-  /// Hands a job in, as an entry would store it.
+  /// Submits a job, as an entry would store it.
   void submit(core::JobSpec spec, int priority = 1, int attempts = 4);
   void cancel(const std::string &jobId);
 
-  /// Moves the clock, in steps of StepMs.
+  /// Advances the clock in steps of StepMs.
   void runFor(absl::Duration time);
-  /// Runs until all jobs are over; false when that takes longer than limit.
-  bool runUntilOver(absl::Duration limit);
-  /// A new leader takes over from the store's records alone.
+  /// Runs until all jobs have ended. Returns false if that takes longer than
+  /// limit.
+  bool runUntilAllEnded(absl::Duration limit);
+  /// Starts a new leader that knows nothing but the store's records.
   void changeLeader();
 
   absl::Time now() const { return Now; }
   JobScheduler &scheduler() { return *Scheduler; }
   JobState state(const std::string &jobId) const;
-  /// From handing in to the first start, and to the end.
-  std::optional<absl::Duration> waited(const std::string &jobId) const;
+  /// Time from the submission of a job to its first start, and to its end.
+  std::optional<absl::Duration> waitTime(const std::string &jobId) const;
   std::optional<absl::Duration> took(const std::string &jobId) const;
-  /// Where the tasks of a job run now.
-  std::multiset<std::string> placesOf(const std::string &jobId) const;
-  /// Core-seconds of work that was stopped or lost, an accelerator as eight
-  /// cores.
-  double wasted() const { return Wasted; }
+  /// The workers on which tasks of a job run now, one item a task.
+  std::multiset<std::string> workersOf(const std::string &jobId) const;
+  /// Core-seconds of work that was discarded by stops or lost with workers. An
+  /// accelerator counts as eight cores.
+  double wasted() const { return LostWork; }
   int starts() const { return Starts; }
-  /// How many workers have crashed under the task by its own doing.
-  int crashesUnder(const std::string &task) const;
+  /// Number of worker crashes that the task has caused.
+  int crashesCausedBy(const std::string &task) const;
   const std::vector<std::string> &violations() const { return Violations; }
 
-  /// How long a task works; the default is its estimate.
+  /// Returns the time that a task has to work. The default is its estimate.
   std::function<absl::Duration(const core::TaskId &, const core::StepSpec &)>
       Work;
-  /// Whether this run fails by its own fault.
+  /// Returns whether this run fails for a reason of its own rather than of its
+  /// worker.
   std::function<bool(const core::TaskId &, int64_t run)> FailsItself;
-  /// Whether the task crashes each worker that starts it, CrashAfter its start.
+  /// Returns whether the task crashes each worker that starts it. The crash
+  /// comes CrashDelay after the start.
   std::function<bool(const core::TaskId &)> CrashesWorker;
-  static constexpr absl::Duration CrashAfter = absl::Milliseconds(10);
-  /// From a crash until its agent tells, and until the worker is back.
-  static constexpr absl::Duration NoticedAfter = absl::Milliseconds(460);
-  absl::Duration BackAfter = absl::Seconds(2);
-  /// While set, writes get no answer and are not made.
+  static constexpr absl::Duration CrashDelay = absl::Milliseconds(10);
+  /// Time from a crash until the agent reports it, and until the worker runs
+  /// again.
+  static constexpr absl::Duration CrashDetectionDelay = absl::Milliseconds(460);
+  absl::Duration RestartDelay = absl::Seconds(2);
+  /// While set, writes are neither made nor answered.
   bool StoreDown = false;
   /// While set, writes are made but their answers are lost.
   bool StoreLosesAnswers = false;
   std::vector<Decision> Log;
 
   static constexpr int StepMs = 10;
-  static constexpr int ReportEveryMs = 500;
-  /// How often the scheduler's timers are served.
+  static constexpr int ReportIntervalMs = 500;
+  /// Interval at which the scheduler's timers are served.
   int TickEveryMs = StepMs;
-  /// How long a stop takes.
+  /// Time from the order to stop a run until its end.
   absl::Duration StopTakes = absl::Milliseconds(200);
-  /// Where it differs from task to task.
-  std::function<absl::Duration(const core::TaskId &)> StopTakesOf;
+  /// The same by task, if it differs between tasks.
+  std::function<absl::Duration(const core::TaskId &)> StopDurationOf;
   static constexpr int RestoreMs = 600;
-  static constexpr absl::Duration CheckpointEvery = absl::Seconds(1);
+  static constexpr absl::Duration CheckpointInterval = absl::Seconds(1);
 
 private:
-  struct Stored {
+  struct StoredJob {
     JobRecord Record;
     int64_t RecordRevision = 0;
     std::string Progress;
     int64_t ProgressRevision = 0;
-    absl::Time HandedIn;
-    std::optional<absl::Time> FirstStart;
-    std::optional<absl::Time> Over;
+    absl::Time SubmittedAt;
+    std::optional<absl::Time> FirstStartAt;
+    std::optional<absl::Time> EndedAt;
   };
 
-  /// Members of a gang's run that are there, as of this step.
+  /// The members of a gang's run that are running in this step.
   struct GangRun {
-    int Present = 0;
+    int RunningMembers = 0;
     std::set<std::string> Racks;
   };
   using GangKey = std::tuple<std::string, int, int, int64_t>;
-  /// A worker that has crashed and is not back.
-  struct Fallen {
-    Worker Before;
-    absl::Time NoticedAt;
-    absl::Time BackAt;
-    bool Noticed = false;
+  /// A worker that has crashed and not started again.
+  struct CrashedWorker {
+    Worker LastState;
+    absl::Time DetectedAt;
+    absl::Time RestartsAt;
+    bool Detected = false;
   };
 
   static GangKey gangKey(const core::TaskId &id, int64_t run);
-  void listGangs();
+  void updateGangs();
   void step();
-  void pump();
-  void work(Worker &worker);
-  void goAway(const std::string &life);
-  void serveFallen();
+  void exchangeMessages();
+  void advanceRuns(Worker &worker);
+  void shutDown(const std::string &incarnation);
+  void processCrashedWorkers();
   void countStart(const std::string &task);
-  absl::Duration saved(const Run &run, const core::TaskId &id,
-                       bool byStop) const;
-  std::string runningSaved(const Run &run, const core::TaskId &id) const;
-  void end(Worker &worker, const RunId &run, endpoints::RunEnd how);
-  void report(Worker &worker);
-  void obey(Worker &worker, const endpoints::WorkerOrders &orders);
-  void checkRoom(const Worker &worker);
-  void checkOneRun(const endpoints::StartOrder &order);
-  bool gangPresent(const core::TaskId &id, int64_t run) const;
-  bool gangSpread(const core::TaskId &id, int64_t run) const;
-  const core::StepSpec &specOf(const core::TaskId &id) const;
+  absl::Duration savedWork(const Run &run, const core::TaskId &id,
+                           bool byStop) const;
+  std::string runningCheckpoint(const Run &run, const core::TaskId &id) const;
+  void endRun(Worker &worker, const RunId &run, endpoints::RunEnd how);
+  void sendReport(Worker &worker);
+  void executeOrders(Worker &worker, const endpoints::WorkerOrders &orders);
+  void checkCapacity(const Worker &worker);
+  void checkTaskRunsOnce(const endpoints::StartOrder &order);
+  bool isGangComplete(const core::TaskId &id, int64_t run) const;
+  bool isGangAcrossRacks(const core::TaskId &id, int64_t run) const;
+  const core::StepSpec &stepOf(const core::TaskId &id) const;
 
   SchedulerPolicy Policy;
   absl::Time Now = absl::UnixEpoch() + absl::Hours(1);
@@ -181,18 +192,18 @@
   std::unique_ptr<JobScheduler> Scheduler;
   std::shared_ptr<const core::SiteConfig> Config;
   std::map<std::string, Worker> Workers;
-  std::map<std::string, Stored> Jobs;
+  std::map<std::string, StoredJob> Jobs;
   std::set<std::string> DoneTasks;
   std::map<GangKey, GangRun> Gangs;
-  std::vector<Fallen> Down;
-  std::map<std::string, int> CrashesUnder;
-  std::map<std::string, int> StartsAfterThird;
-  double Wasted = 0;
+  std::vector<CrashedWorker> CrashedWorkers;
+  std::map<std::string, int> CrashesByTask;
+  std::map<std::string, int> StartsAfterThirdCrash;
+  double LostWork = 0;
   int Starts = 0;
   std::vector<std::string> Violations;
 };
 
-/// A job of one step.
+/// Returns a job with a single step.
 core::JobSpec jobOf(const std::string &id, core::StepSpec step,
                     const std::string &organisation = "org-a");
 
--- a/tests/auto/jobs/tst_crashes.cpp
+++ b/tests/auto/jobs/tst_crashes.cpp
@@ -1,4 +1,4 @@
-// Tasks that crash the workers that start them.
+// Tests of tasks that crash the workers that start them.
 #include "simsite.h"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,8 @@
   return s;
 }
 
-/// A site of workers whose jobs named "bad..." have a first task that crashes
-/// each worker that starts it.
+/// A site of workers. In jobs named "bad..." the first task crashes each worker
+/// that starts it.
 class CrashSite : public SimSite {
 public:
   explicit CrashSite(int workers) {
@@ -35,27 +35,28 @@
   }
 };
 
-void expectKept(const SimSite &site) {
+void expectNoViolations(const SimSite &site) {
   EXPECT_TRUE(site.violations().empty()) << site.violations().front();
 }
 
-// Guards against a task that takes the site's workers down one after another.
-TEST(CrashingTask, IsGivenUpAfterTwoWorkersOfDifferentHosts) {
+// Guards against a task that crashes the workers of a site one after another,
+// as it is started again and again.
+TEST(CrashingTask, FailsItsJobAfterCrashesOnTwoHosts) {
   CrashSite site(6);
   site.submit(jobOf("bad", step(2, 8, 3000)));
   site.submit(jobOf("clean", step(2, 8, 3000)));
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(30)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
   EXPECT_EQ(site.state("bad"), JobState::Failed);
   EXPECT_EQ(site.state("clean"), JobState::Completed);
-  EXPECT_EQ(site.crashesUnder("bad.0.0.0"), 2);
-  expectKept(site);
+  EXPECT_EQ(site.crashesCausedBy("bad.0.0.0"), 2);
+  expectNoViolations(site);
 }
 
-// Guards against a caller who cannot learn why the job has failed.
-TEST(CrashingTask, ItsJobsEndSaysWhy) {
+// Guards against a caller that cannot find out why its job has failed.
+TEST(CrashingTask, IsNamedAsTheCauseOfItsJobsFailure) {
   CrashSite site(6);
   site.submit(jobOf("bad", step(1, 8, 3000)));
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(30)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
   const auto end =
       std::find_if(site.Log.begin(), site.Log.end(), [](const Decision &d) {
         return d.What == Decision::Kind::JobEnded;
@@ -65,62 +66,64 @@
   EXPECT_EQ(end->Texts.at("cause"), "bad.0.0.0 crashed 2 workers");
 }
 
-// Guards against a task that no other host can try, and that is tried for ever.
-TEST(CrashingTask, IsGivenUpWhereOnlyOneHostCanHoldIt) {
+// Guards against a task that is started for ever because no other host has the
+// capacity to confirm that the task causes the crashes.
+TEST(CrashingTask, FailsItsJobWhenOnlyOneHostFits) {
   CrashSite site(1);
   site.submit(jobOf("bad", step(1, 8, 1000)));
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(30)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
   EXPECT_EQ(site.state("bad"), JobState::Failed);
-  EXPECT_LE(site.crashesUnder("bad.0.0.0"), 3);
-  expectKept(site);
+  EXPECT_LE(site.crashesCausedBy("bad.0.0.0"), 3);
+  expectNoViolations(site);
 }
 
-TEST(CrashingTask, EndsItsWholeGang) {
+TEST(CrashingTask, FailsItsWholeGang) {
   CrashSite site(6);
   site.submit(jobOf("bad", step(4, 8, 3000, true)));
   site.submit(jobOf("clean", step(2, 8, 3000, true)));
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(30)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
   EXPECT_EQ(site.state("bad"), JobState::Failed);
   EXPECT_EQ(site.state("clean"), JobState::Completed);
-  EXPECT_LE(site.crashesUnder("bad.0.0.0"), 3);
-  expectKept(site);
+  EXPECT_LE(site.crashesCausedBy("bad.0.0.0"), 3);
+  expectNoViolations(site);
 }
 
-TEST(CrashingTask, OfAJobThatWasCancelledIsNotStartedAgain) {
+TEST(CrashingTask, IsNotRestartedAfterItsJobIsCancelled) {
   CrashSite site(6);
   site.submit(jobOf("bad", step(1, 8, 3000)));
   site.runFor(absl::Milliseconds(100));
   site.cancel("bad");
   site.runFor(absl::Seconds(10));
   EXPECT_EQ(site.state("bad"), JobState::Cancelled);
-  EXPECT_EQ(site.crashesUnder("bad.0.0.0"), 1);
+  EXPECT_EQ(site.crashesCausedBy("bad.0.0.0"), 1);
 }
 
-// Guards against jobs that fail because their tasks stood beside one that
-// crashes its workers.
-TEST(CrashingTask, NeighboursAreNotGivenUp) {
+// Guards against jobs that fail because their tasks ran on the same workers as
+// a task that crashes them.
+TEST(CrashingTask, DoesNotFailTasksOnTheSameWorker) {
   CrashSite site(4);
   for (int n = 0; n < 3; ++n) {
     site.submit(jobOf("bad" + std::to_string(n), step(2, 1, 2000)));
     site.submit(jobOf("clean" + std::to_string(n), step(9, 1, 2000)));
   }
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(60)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(60)));
   for (int n = 0; n < 3; ++n) {
     EXPECT_EQ(site.state("bad" + std::to_string(n)), JobState::Failed) << n;
     EXPECT_EQ(site.state("clean" + std::to_string(n)), JobState::Completed)
         << n;
   }
-  expectKept(site);
+  expectNoViolations(site);
 }
 
-// Guards against a second crash that again cannot tell whose fault it was: what
-// may have crashed a worker is tried apart from what has just begun elsewhere.
-TEST(CrashingTask, SuspectsAreTriedApart) {
+// Guards against a second crash that leaves the cause open again: tasks that
+// may have crashed a worker are started apart from other tasks that have just
+// started.
+TEST(CrashingTask, SuspectTasksRunOnSeparateWorkers) {
   CrashSite site(4);
   site.submit(jobOf("bad", step(1, 1, 2000)));
   site.submit(jobOf("clean", step(7, 1, 2000)));
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(60)));
-  std::vector<std::string> suspectsOfSecond;
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(60)));
+  std::vector<std::string> suspectsAtSecondCrash;
   std::string firstWorker;
   for (const Decision &d : site.Log) {
     if (d.What != Decision::Kind::RunCrashedWorker)
@@ -128,14 +131,14 @@
     if (firstWorker.empty())
       firstWorker = d.Worker;
     if (d.Worker != firstWorker)
-      suspectsOfSecond.push_back(d.Task);
+      suspectsAtSecondCrash.push_back(d.Task);
   }
-  EXPECT_EQ(suspectsOfSecond, std::vector<std::string>{"bad.0.0.0"});
+  EXPECT_EQ(suspectsAtSecondCrash, std::vector<std::string>{"bad.0.0.0"});
 }
 
-// Guards against work that is lost with a suspect's worker although another one
-// stands empty.
-TEST(CrashingTask, SuspectIsTriedOnAnEmptyWorkerWhereThereIsOne) {
+// Guards against work that is lost because a suspect task crashes the worker
+// that it shares, although another worker is empty.
+TEST(CrashingTask, SuspectTaskPrefersAnEmptyWorker) {
   CrashSite site(4);
   core::StepSpec spread = step(2, 4, 20000);
   spread.MaxPerWorker = 1;
@@ -148,48 +151,48 @@
       std::count_if(site.Log.begin(), site.Log.end(), [](const Decision &d) {
         return d.What == Decision::Kind::Placed && d.Job == "long";
       });
-  // Two, and one more as the first crash could not be foreseen.
+  // Two starts, and one more because the first crash could not be foreseen.
   EXPECT_EQ(startsOfLong, 3);
 }
 
-// Guards against a task that is taken for the cause for good because it
-// happened to stand on workers that crashed, once each time it was started
-// anew.
-TEST(CrashingTask, SuspectThatItsWorkerOutlivesIsCleared) {
+// Guards against a task that is blamed for crashes for good because it happened
+// to run on several workers that crashed, one after each restart of the task.
+TEST(CrashingTask, SuspectTaskIsClearedWhenItsWorkerSurvives) {
   CrashSite site(4);
   site.submit(jobOf("clean", step(1, 8, 4000)));
   for (int n = 0; n < 4; ++n) {
     site.runFor(absl::Milliseconds(100));
-    const std::multiset<std::string> places = site.placesOf("clean");
-    ASSERT_EQ(places.size(), 1u);
-    site.fall(*places.begin());
+    const std::multiset<std::string> assigned = site.workersOf("clean");
+    ASSERT_EQ(assigned.size(), 1u);
+    site.crashAndRestart(*assigned.begin());
     site.runFor(absl::Milliseconds(2500));
   }
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(30)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
   EXPECT_EQ(site.state("clean"), JobState::Completed);
 }
 
-// Guards against jobs that fail because all workers crash at once, twice.
-TEST(CrashingTask, CrashesOfAllWorkersAtOnceFailNoJob) {
+// Guards against jobs that fail because all workers crash at the same time,
+// twice.
+TEST(CrashingTask, SimultaneousCrashesOfAllWorkersFailNoJob) {
   CrashSite site(6);
   for (int n = 0; n < 6; ++n)
     site.submit(jobOf("clean" + std::to_string(n), step(2, 4, 5000)));
   for (int wave = 0; wave < 2; ++wave) {
     site.runFor(absl::Milliseconds(200));
     for (int w = 0; w < 6; ++w)
-      site.fall("w" + std::to_string(w) + std::string(wave, '\''));
+      site.crashAndRestart("w" + std::to_string(w) + std::string(wave, '\''));
     site.runFor(absl::Milliseconds(4000));
   }
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(60)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(60)));
   for (int n = 0; n < 6; ++n)
     EXPECT_EQ(site.state("clean" + std::to_string(n)), JobState::Completed);
 }
 
 enum class LeaderChange {
   BeforeTheCrash,
-  BeforeItIsNoticed,
-  AfterItIsNoticed,
-  WhileItIsNotRecorded,
+  BeforeDetection,
+  AfterDetection,
+  BeforeItIsRecorded,
   AfterEachCrash
 };
 
@@ -202,9 +205,9 @@
 
 class CrashAndLeaderChange : public testing::TestWithParam<ChangeCase> {};
 
-// Guards against a count of crashes that a new leader begins anew, or takes
-// twice.
-TEST_P(CrashAndLeaderChange, KeepTheCount) {
+// Guards against a count of crashes that a new leader resets, or adds to twice
+// for one crash.
+TEST_P(CrashAndLeaderChange, PreservesCrashCount) {
   CrashSite site(6);
   const LeaderChange when = GetParam().When;
   site.submit(jobOf("bad", step(1, 8, 3000)));
@@ -216,13 +219,13 @@
   case LeaderChange::BeforeTheCrash:
     site.changeLeader();
     break;
-  case LeaderChange::BeforeItIsNoticed:
+  case LeaderChange::BeforeDetection:
     changeAt(absl::Milliseconds(100));
     break;
-  case LeaderChange::AfterItIsNoticed:
+  case LeaderChange::AfterDetection:
     changeAt(absl::Milliseconds(490));
     break;
-  case LeaderChange::WhileItIsNotRecorded:
+  case LeaderChange::BeforeItIsRecorded:
     site.runFor(absl::Milliseconds(400));
     site.StoreDown = true;
     changeAt(absl::Milliseconds(200));
@@ -232,20 +235,19 @@
     for (int n = 0; n < 10; ++n)
       changeAt(absl::Milliseconds(490));
   }
-  ASSERT_TRUE(site.runUntilOver(absl::Seconds(60)));
+  ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(60)));
   EXPECT_EQ(site.state("bad"), JobState::Failed);
-  EXPECT_LE(site.crashesUnder("bad.0.0.0"), 3);
-  expectKept(site);
+  EXPECT_LE(site.crashesCausedBy("bad.0.0.0"), 3);
+  expectNoViolations(site);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table, CrashAndLeaderChange,
     testing::Values(
         ChangeCase{"before_the_crash", LeaderChange::BeforeTheCrash},
-        ChangeCase{"before_it_is_noticed", LeaderChange::BeforeItIsNoticed},
-        ChangeCase{"after_it_is_noticed", LeaderChange::AfterItIsNoticed},
-        ChangeCase{"while_it_is_not_recorded",
-                   LeaderChange::WhileItIsNotRecorded},
+        ChangeCase{"before_detection", LeaderChange::BeforeDetection},
+        ChangeCase{"after_detection", LeaderChange::AfterDetection},
+        ChangeCase{"before_it_is_recorded", LeaderChange::BeforeItIsRecorded},
         ChangeCase{"after_each_crash", LeaderChange::AfterEachCrash}),
     [](const auto &test) { return std::string(test.param.Name); });
 
--- a/tests/auto/jobs/tst_demandbook.cpp
+++ b/tests/auto/jobs/tst_demandbook.cpp
@@ -7,12 +7,13 @@
 
 struct DemandCase {
   const char *Name;
-  /// Jobs of so many accelerators, one each so many milliseconds, for so long.
+  /// Jobs of this many accelerators arrive, one each IntervalMs, for
+  /// DurationMs.
   int64_t Accelerators;
-  int EveryMs;
-  int ForMs;
-  /// Then nothing comes for so long.
-  int QuietMs;
+  int IntervalMs;
+  int DurationMs;
+  /// Time without arrivals after the last job.
+  int IdleMs;
   double AtLeast;
   double AtMost;
 };
@@ -21,28 +22,29 @@
   return out << c.Name;
 }
 
-class Demands : public ::testing::TestWithParam<DemandCase> {};
+class DemandEstimate : public ::testing::TestWithParam<DemandCase> {};
 
-// What will be asked for within a second.
-TEST_P(Demands, FollowWhatComes) {
+// Compares the accelerators expected to be requested within one second with the
+// bounds of the case.
+TEST_P(DemandEstimate, TracksRecentArrivals) {
   const DemandCase &c = GetParam();
   DemandBook book;
   absl::Time now = absl::UnixEpoch() + absl::Hours(1);
-  for (int ms = 0; ms < c.ForMs; ms += c.EveryMs) {
+  for (int ms = 0; ms < c.DurationMs; ms += c.IntervalMs) {
     book.arrived(c.Accelerators, now);
-    now += absl::Milliseconds(c.EveryMs);
+    now += absl::Milliseconds(c.IntervalMs);
   }
-  now += absl::Milliseconds(c.QuietMs);
+  now += absl::Milliseconds(c.IdleMs);
   const double need = book.within(absl::Seconds(1), now);
   EXPECT_GE(need, c.AtLeast);
   EXPECT_LE(need, c.AtMost);
 }
 
-// The mean is accelerators times jobs a second; the deviation of so many
-// independent jobs adds accelerators times the root of their number. Between
-// jobs that are 4 s apart the estimate fades by a fifth.
+// The mean is accelerators times jobs per second. The deviation of that many
+// independent jobs adds accelerators times the square root of their number.
+// Between jobs that are 4 s apart the estimate decays by a fifth.
 INSTANTIATE_TEST_SUITE_P(
-    Table, Demands,
+    Table, DemandEstimate,
     ::testing::Values(DemandCase{"none", 8, 100, 0, 0, 0, 0},
                       DemandCase{"many_small", 1, 100, 60000, 0, 12, 15},
                       DemandCase{"few_wide", 40, 4000, 60000, 0, 24, 36},
--- a/tests/auto/testnames.h
+++ b/tests/auto/testnames.h
@@ -9,8 +9,8 @@
 
 namespace oriolebay::testnames {
 
-/// A table row's story turned into a test name gtest accepts: letters and
-/// digits kept, everything else an underscore.
+/// Turns the description of a test case into a name that gtest accepts: letters
+/// and digits are kept, everything else becomes an underscore.
 inline std::string storyName(const std::string &story) {
   std::string out;
   for (char ch : story)
@@ -18,7 +18,8 @@
   return out;
 }
 
-/// A folder of its own for the processes that the running test starts.
+/// Returns a directory for the processes that the running test starts. It is
+/// unique to the test and its process.
 inline std::string workDir() {
   const std::string name =
       testing::UnitTest::GetInstance()->current_test_info()->name();
