--- a/tests/auto/cluster/memorycluster.cpp
+++ b/tests/auto/cluster/memorycluster.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr const char *ConfigKey = "test/config";
 constexpr absl::Duration HopDelay = absl::Milliseconds(1);
-constexpr absl::Duration BeatEvery = absl::Milliseconds(1500);
+constexpr absl::Duration HeartbeatInterval = absl::Milliseconds(1500);
 } // namespace
 
 std::string encodeConfig(const core::SiteConfig &config) {
@@ -30,8 +30,9 @@
 utils::Result<core::SiteConfig> decodeConfig(const std::string &value) {
   const json j = json::parse(value, nullptr, false);
   if (!j.is_object())
-    return utils::fail(utils::ErrorKind::BadMessage, "no configuration",
-                       "write one");
+    return utils::fail(utils::ErrorKind::BadMessage,
+                       "the configuration is not a JSON object",
+                       "write a valid configuration");
   core::SiteConfig config;
   config.Version = j["version"];
   for (const json &o : j["organisations"])
@@ -53,18 +54,18 @@
 MemoryCluster::MemoryCluster(Options options)
     : Loop(1 << 20, utils::EventLoop::Time::Manual), Store(Loop, options.Seed),
       Setup(options) {
-  All.StepOf = [this](const std::string &task) { return stepOf(task); };
-  All.WorkOf = [this](const std::string &task) {
+  Shared.StepOf = [this](const std::string &task) { return stepOf(task); };
+  Shared.WorkTimeOf = [this](const std::string &task) {
     return absl::Milliseconds(stepOf(task).EstimateMs);
   };
   for (int n = 0; n < Setup.Workers; ++n) {
-    Workers[n].Machine = std::make_unique<MemoryWorker>(
-        Loop, All, "w" + std::to_string(n),
+    Workers[n].FakeWorker = std::make_unique<MemoryWorker>(
+        Loop, Shared, "w" + std::to_string(n),
         "r" + std::to_string(n / Setup.WorkersPerRack),
         core::Resources{32000, 65536, 8},
         Setup.Seed * 100 + static_cast<uint64_t>(n));
     startAgent(n);
-    Loop.runAfter(absl::Milliseconds(10 * n), [this, n] { beat(n); });
+    Loop.runAfter(absl::Milliseconds(10 * n), [this, n] { sendHeartbeat(n); });
   }
   for (int n = 0; n < Setup.Entries; ++n)
     startEntry(n);
@@ -77,13 +78,13 @@
   std::vector<core::OrganisationConfig> organisations;
   for (const std::string &key : keys)
     organisations.push_back({"org-of-" + key, {key}, guaranteed});
-  configureOwners(std::move(organisations));
+  configureOrganisations(std::move(organisations));
 }
 
-void MemoryCluster::configureOwners(
+void MemoryCluster::configureOrganisations(
     std::vector<core::OrganisationConfig> organisations) {
   core::SiteConfig config;
-  config.Version = ++Version;
+  config.Version = ++ConfigVersion;
   config.Organisations = std::move(organisations);
   for (int priority = 0; priority < 3; ++priority) {
     core::QueueConfig q;
@@ -118,23 +119,23 @@
   peers.Call = [this, process, generation](
                    const std::string &to, const endpoints::Message &message,
                    int timeoutMs, const endpoints::Peers::Done &done) {
-    auto over = std::make_shared<bool>(false);
-    auto finish = [this, over, process, generation,
+    auto finished = std::make_shared<bool>(false);
+    auto finish = [this, finished, process, generation,
                    done](const std::optional<endpoints::Message> &reply) {
-      if (!std::exchange(*over, true) && Generation[process] == generation)
+      if (!std::exchange(*finished, true) && Generation[process] == generation)
         done(reply);
     };
     Loop.runAfter(absl::Milliseconds(timeoutMs),
                   [finish] { finish(std::nullopt); });
-    if (!reaches(process, to))
+    if (!canReach(process, to))
       return;
     Loop.runAfter(HopDelay, [this, to, message, process, finish] {
       auto handler = Handlers.find(to);
-      if (handler == Handlers.end() || !reaches(process, to))
+      if (handler == Handlers.end() || !canReach(process, to))
         return;
       handler->second(message, [this, process, to,
                                 finish](const endpoints::Message &reply) {
-        if (reaches(process, to))
+        if (canReach(process, to))
           Loop.runAfter(HopDelay, [finish, reply] { finish(reply); });
       });
     });
@@ -145,13 +146,13 @@
 void MemoryCluster::startEntry(int n) {
   const std::string name = entryName(n);
   settings::NodeSettings settings = settingsOf(name);
-  settings.ProcessorShare = n < Setup.FirstWeakEntry ? 0.5 : 0.05;
+  settings.ProcessorShare = n < Setup.FirstSmallEntry ? 0.5 : 0.05;
   entry::EntryObservers observers;
   observers.Called = [this](const jobs::CallDecision &d) {
-    Decided.push_back(d);
+    CallDecisions.push_back(d);
   };
   observers.Decided = [this](const jobs::Decision &d) {
-    LeaderDecided.emplace_back(Loop.now(), d);
+    LeaderDecisions.emplace_back(Loop.now(), d);
   };
   Entries[n].Process = std::make_unique<entry::JobEntry>(
       Loop, Store.clientOf(name), peersOf(name), settings, decodeConfig,
@@ -168,7 +169,7 @@
 void MemoryCluster::startAgent(int n) {
   const std::string name = agentName(n);
   Workers[n].Agent = std::make_unique<agent::WorkerAgent>(
-      Loop, Store.clientOf(name), peersOf(name), Workers[n].Machine->calls(),
+      Loop, Store.clientOf(name), peersOf(name), Workers[n].FakeWorker->calls(),
       settingsOf(name), entry::EntryPrefix);
   Workers[n].Agent->start();
 }
@@ -179,24 +180,26 @@
   Workers[n].Agent.reset();
 }
 
-void MemoryCluster::removeMachine(int n) {
+void MemoryCluster::removeHost(int n) {
   killAgent(n);
-  Workers[n].Machine->crash();
-  Workers[n].Machine->Down = true;
+  Workers[n].FakeWorker->crash();
+  Workers[n].FakeWorker->Down = true;
 }
 
-void MemoryCluster::cut(const std::string &process, bool isCut) {
-  if (isCut)
-    Cut.insert(process);
+void MemoryCluster::setPartitioned(const std::string &process,
+                                   bool partitioned) {
+  if (partitioned)
+    Partitioned.insert(process);
   else
-    Cut.erase(process);
+    Partitioned.erase(process);
 }
 
-void MemoryCluster::beat(int n) {
-  Side &side = Workers[n];
-  if (side.Agent != nullptr && !side.Machine->Down && side.Machine->listens())
-    side.Agent->onHeartbeat(side.Machine->heartbeat());
-  Loop.runAfter(BeatEvery, [this, n] { beat(n); });
+void MemoryCluster::sendHeartbeat(int n) {
+  WorkerHost &host = Workers[n];
+  if (host.Agent != nullptr && !host.FakeWorker->Down &&
+      host.FakeWorker->isListening())
+    host.Agent->onHeartbeat(host.FakeWorker->heartbeat());
+  Loop.runAfter(HeartbeatInterval, [this, n] { sendHeartbeat(n); });
 }
 
 int MemoryCluster::leader() const {
@@ -212,7 +215,7 @@
 void MemoryCluster::runFor(absl::Duration time) { Loop.advance(time); }
 
 std::optional<jobs::JobState>
-MemoryCluster::stored(const std::string &job) const {
+MemoryCluster::storedState(const std::string &job) const {
   auto spec = Store.items().find(jobs::specKey(job));
   if (spec == Store.items().end())
     return std::nullopt;
@@ -228,18 +231,18 @@
       [](const utils::Error &) { return std::optional<jobs::JobState>(); });
 }
 
-bool MemoryCluster::runUntilOver(absl::Duration limit) {
+bool MemoryCluster::runUntilAllEnded(absl::Duration limit) {
   const absl::Time end = Loop.now() + limit;
-  auto over = [this] {
+  auto finished = [this] {
     return std::all_of(Accepted.begin(), Accepted.end(),
                        [this](const std::string &job) {
-                         const auto state = stored(job);
+                         const auto state = storedState(job);
                          return state && jobs::isFinal(*state);
                        });
   };
-  while (!over() && Loop.now() < end)
+  while (!finished() && Loop.now() < end)
     Loop.advance(absl::Milliseconds(50));
-  return over();
+  return finished();
 }
 
 core::StepSpec MemoryCluster::stepOf(const std::string &task) const {
@@ -248,89 +251,90 @@
   return Specs.at(id.Job).Steps.at(static_cast<size_t>(id.Step));
 }
 
-jobs::CallerAccess MemoryCluster::access(const std::string &key) const {
+jobs::CallerAccess MemoryCluster::accessFor(const std::string &key) const {
   return {"host", "", key, Loop.now() + absl::Seconds(3)};
 }
 
-std::shared_ptr<MemoryCluster::Called>
-MemoryCluster::call(const std::string &job, const std::string &key) {
-  auto called = std::make_shared<Called>();
-  called->Job = job;
-  called->Key = key;
-  called->Sent = Loop.now();
-  return called;
+std::shared_ptr<MemoryCluster::CallerCall>
+MemoryCluster::makeCall(const std::string &job, const std::string &key) {
+  auto call = std::make_shared<CallerCall>();
+  call->Job = job;
+  call->Key = key;
+  call->SentAt = Loop.now();
+  return call;
 }
 
-std::shared_ptr<MemoryCluster::Called>
+std::shared_ptr<MemoryCluster::CallerCall>
 MemoryCluster::submit(int n, const std::string &key, core::JobSpec spec) {
-  auto called = call(spec.Id, key);
+  auto call = makeCall(spec.Id, key);
   Specs[spec.Id] = spec;
-  if (!entryUp(n))
-    return called;
-  jobs::CallerAccess a = access(key);
+  if (!isEntryUp(n))
+    return call;
+  jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + spec.Queue + "/" + spec.Id;
   Entries[n].Process->desk().submit(
-      a, std::move(spec), [this, called](const jobs::CallAnswer &answer) {
-        called->Answer = answer;
+      a, std::move(spec), [this, call](const jobs::CallAnswer &answer) {
+        call->Answer = answer;
         if (answer.Result == jobs::CallResult::Ok)
-          Accepted.insert(called->Job);
+          Accepted.insert(call->Job);
       });
-  return called;
+  return call;
 }
 
-std::shared_ptr<MemoryCluster::Called>
+std::shared_ptr<MemoryCluster::CallerCall>
 MemoryCluster::cancel(int n, const std::string &key, const std::string &job) {
-  auto called = call(job, key);
-  if (!entryUp(n))
-    return called;
-  jobs::CallerAccess a = access(key);
+  auto call = makeCall(job, key);
+  if (!isEntryUp(n))
+    return call;
+  jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + Specs.at(job).Queue + "/" + job;
   Entries[n].Process->desk().cancel(
       a, job,
-      [called](const jobs::CallAnswer &answer) { called->Answer = answer; });
-  return called;
+      [call](const jobs::CallAnswer &answer) { call->Answer = answer; });
+  return call;
 }
 
-std::shared_ptr<MemoryCluster::Called>
+std::shared_ptr<MemoryCluster::CallerCall>
 MemoryCluster::state(int n, const std::string &key, const std::string &job) {
-  auto called = call(job, key);
-  if (!entryUp(n))
-    return called;
-  jobs::CallerAccess a = access(key);
+  auto call = makeCall(job, key);
+  if (!isEntryUp(n))
+    return call;
+  jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + Specs.at(job).Queue + "/" + job;
   Entries[n].Process->desk().state(
       a, job,
-      [called](const jobs::CallAnswer &answer) { called->Answer = answer; });
-  return called;
+      [call](const jobs::CallAnswer &answer) { call->Answer = answer; });
+  return call;
 }
 
-std::shared_ptr<MemoryCluster::Called>
-MemoryCluster::count(int n, const std::string &key, const std::string &queue) {
-  auto called = call("", key);
-  if (!entryUp(n))
-    return called;
-  jobs::CallerAccess a = access(key);
+std::shared_ptr<MemoryCluster::CallerCall>
+MemoryCluster::countQueued(int n, const std::string &key,
+                           const std::string &queue) {
+  auto call = makeCall("", key);
+  if (!isEntryUp(n))
+    return call;
+  jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + queue + "/";
   Entries[n].Process->desk().queueLength(
-      a, [called](const jobs::CallAnswer &answer) { called->Answer = answer; });
-  return called;
+      a, [call](const jobs::CallAnswer &answer) { call->Answer = answer; });
+  return call;
 }
 
-std::string MemoryCluster::storyOf(const std::string &job) const {
-  std::string story;
-  for (const auto &[at, d] : LeaderDecided)
+std::string MemoryCluster::decisionsText(const std::string &job) const {
+  std::string text;
+  for (const auto &[at, d] : LeaderDecisions)
     if (d.Job == job)
-      story += absl::FormatTime("%M:%E3S ", at, absl::UTCTimeZone()) +
-               std::to_string(static_cast<int>(d.What)) + " " + d.Task +
-               " run " + std::to_string(d.Run) + " " + d.Worker + " " + d.Why +
-               "\n";
-  return story;
+      text += absl::FormatTime("%M:%E3S ", at, absl::UTCTimeZone()) +
+              std::to_string(static_cast<int>(d.What)) + " " + d.Task +
+              " run " + std::to_string(d.Run) + " " + d.Worker + " " + d.Why +
+              "\n";
+  return text;
 }
 
 std::vector<std::string> MemoryCluster::violations() {
-  std::vector<std::string> out = All.Violations;
+  std::vector<std::string> out = Shared.Violations;
   for (const std::string &job : Accepted)
-    if (!stored(job))
+    if (!storedState(job))
       out.push_back("accepted job " + job + " is not in the store");
   return out;
 }
--- a/tests/auto/cluster/memorystore.cpp
+++ b/tests/auto/cluster/memorystore.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr absl::Duration CallTimeout = absl::Milliseconds(700);
-constexpr absl::Duration WatchSlack = absl::Milliseconds(1000);
+constexpr absl::Duration WatchTimeoutMargin = absl::Milliseconds(1000);
 
 bool startsWith(const std::string &s, const std::string &prefix) {
   return s.compare(0, prefix.size(), prefix) == 0;
@@ -29,8 +29,8 @@
 template <class T>
 void MemoryStore::answer(const std::string &client, OnStoreReply<T> done,
                          StoreReply<T> reply) {
-  // The answer is lost if the client cannot be reached when it leaves.
-  const Faults &f = ByClient[client];
+  // The answer is lost if the client cannot be reached when it is sent.
+  const Faults &f = FaultsByClient[client];
   if (f.Silent) {
     Loop.runAfter(CallTimeout, [done = std::move(done)] {
       done({StoreStatus::Unknown, {}, "timeout"});
@@ -42,11 +42,11 @@
 }
 
 template <class T>
-bool MemoryStore::admitted(const std::string &client,
-                           const OnStoreReply<T> &done,
-                           absl::Duration timeout) {
+bool MemoryStore::admitCall(const std::string &client,
+                            const OnStoreReply<T> &done,
+                            absl::Duration timeout) {
   ++Calls;
-  const Faults &f = ByClient[client];
+  const Faults &f = FaultsByClient[client];
   if (f.Silent) {
     Loop.runAfter(timeout, [done] {
       done({StoreStatus::Unknown, {}, "timeout"});
@@ -82,23 +82,23 @@
 void MemoryStore::put(const std::string &key, const std::string &value) {
   ++Revision;
   write(key, value, 0);
-  notify();
+  notifyWatches();
 }
 
 void MemoryStore::compact() {
-  Oldest = Revision;
+  OldestRevision = Revision;
   History.clear();
   for (auto &w : std::exchange(Watches, {}))
-    if (!std::exchange(w->Over, true))
+    if (!std::exchange(w->Answered, true))
       w->Done({StoreStatus::Unknown, {}, "cut"});
 }
 
-void MemoryStore::endLeases() {
-  std::vector<int64_t> ended;
+void MemoryStore::expireLeases() {
+  std::vector<int64_t> expired;
   for (const auto &[id, lease] : Leases)
-    if (lease.Ends <= Loop.now())
-      ended.push_back(id);
-  for (int64_t id : ended) {
+    if (lease.ExpiresAt <= Loop.now())
+      expired.push_back(id);
+  for (int64_t id : expired) {
     Leases.erase(id);
     std::vector<std::string> keys;
     for (const auto &[key, item] : Items)
@@ -109,7 +109,7 @@
     ++Revision;
     for (const std::string &key : keys)
       remove(key);
-    notify();
+    notifyWatches();
   }
 }
 
@@ -122,12 +122,12 @@
   return events;
 }
 
-void MemoryStore::notify() {
+void MemoryStore::notifyWatches() {
   auto waiting = std::exchange(Watches, {});
   for (auto &w : waiting) {
-    if (w->Over)
+    if (w->Answered)
       continue;
-    const Faults &f = ByClient[w->Client];
+    const Faults &f = FaultsByClient[w->Client];
     std::vector<platform::StoreEvent> events;
     if (!f.WatchesSilent && !f.Silent)
       events = changesAfter(w->Prefix, w->After);
@@ -135,27 +135,28 @@
       Watches.push_back(w);
       continue;
     }
-    w->Over = true;
+    w->Answered = true;
     answer<platform::StoreEvents>(w->Client, w->Done,
                                   {StoreStatus::Ok, {events, Revision}, ""});
   }
 }
 
 StoreReply<platform::StoreTxnReply>
-MemoryStore::apply(const platform::StoreTxn &txn) {
-  endLeases();
+MemoryStore::applyTxn(const platform::StoreTxn &txn) {
+  expireLeases();
   StoreReply<platform::StoreTxnReply> reply;
-  bool holds = true;
+  bool conditionsMet = true;
   for (const platform::StoreCondition &c : txn.Expected) {
     auto it = Items.find(c.Key);
-    holds &= (it == Items.end() ? 0 : it->second.ModRevision) == c.Revision;
+    conditionsMet &=
+        (it == Items.end() ? 0 : it->second.ModRevision) == c.Revision;
   }
   for (const platform::StorePut &p : txn.Puts)
     if (p.Lease != 0 && Leases.count(p.Lease) == 0) {
       reply.Status = StoreStatus::NotFound;
       return reply;
     }
-  if (!holds) {
+  if (!conditionsMet) {
     reply.Status = StoreStatus::Conflict;
     for (const platform::StoreCondition &c : txn.Expected)
       if (auto it = Items.find(c.Key); it != Items.end())
@@ -172,7 +173,7 @@
     remove(key);
   reply.Status = StoreStatus::Ok;
   reply.Value.Revision = Revision;
-  notify();
+  notifyWatches();
   return reply;
 }
 
@@ -181,24 +182,24 @@
                            const OnStoreReply<platform::StoreTxnReply> &done) {
   const absl::Duration timeout =
       txn.TimeoutMs > 0 ? absl::Milliseconds(txn.TimeoutMs) : CallTimeout;
-  if (!admitted(client, done, timeout))
+  if (!admitCall(client, done, timeout))
     return;
-  const Faults &f = ByClient[client];
-  auto lost = [this, done, timeout] {
+  const Faults &f = FaultsByClient[client];
+  auto timeOut = [this, done, timeout] {
     Loop.runAfter(timeout, [done] {
       done({StoreStatus::Unknown, {}, "timeout"});
     });
   };
-  if (chance(f.Late)) {
+  if (chance(f.LateWriteShare)) {
     const auto ms = std::uniform_int_distribution<>(1000, 6000)(Random);
-    Loop.runAfter(absl::Milliseconds(ms), [this, txn] { apply(txn); });
-    lost();
+    Loop.runAfter(absl::Milliseconds(ms), [this, txn] { applyTxn(txn); });
+    timeOut();
     return;
   }
-  Loop.runAfter(f.Delay / 2, [this, client, txn, done, lost] {
-    const auto reply = apply(txn);
-    if (chance(ByClient[client].LosesAnswers))
-      lost();
+  Loop.runAfter(f.Delay / 2, [this, client, txn, done, timeOut] {
+    const auto reply = applyTxn(txn);
+    if (chance(FaultsByClient[client].LostAnswerShare))
+      timeOut();
     else
       answer(client, done, reply);
   });
@@ -208,10 +209,10 @@
                         int64_t after, int64_t waitMs,
                         const OnStoreReply<platform::StoreEvents> &done) {
   ++Calls;
-  const Faults &f = ByClient[client];
+  const Faults &f = FaultsByClient[client];
   const absl::Duration wait = absl::Milliseconds(waitMs);
   if (f.Silent) {
-    Loop.runAfter(wait + WatchSlack, [done] {
+    Loop.runAfter(wait + WatchTimeoutMargin, [done] {
       done({StoreStatus::Unknown, {}, "timeout"});
     });
     return;
@@ -222,19 +223,19 @@
     });
     return;
   }
-  if (after < Oldest) {
+  if (after < OldestRevision) {
     answer<platform::StoreEvents>(client, done,
                                   {StoreStatus::Compacted, {}, "410"});
     return;
   }
-  auto waiting =
-      std::make_shared<Waiting>(Waiting{client, prefix, after, done, false});
+  auto waiting = std::make_shared<PendingWatch>(
+      PendingWatch{client, prefix, after, done, false});
   Watches.push_back(waiting);
-  notify();
+  notifyWatches();
   Loop.runAfter(wait, [this, waiting] {
-    if (std::exchange(waiting->Over, true))
+    if (std::exchange(waiting->Answered, true))
       return;
-    const bool silent = ByClient[waiting->Client].WatchesSilent;
+    const bool silent = FaultsByClient[waiting->Client].WatchesSilent;
     answer<platform::StoreEvents>(
         waiting->Client, waiting->Done,
         {StoreStatus::Ok, {{}, silent ? waiting->After : Revision}, ""});
@@ -245,9 +246,9 @@
   platform::Store store;
   store.Get = [this, client](const std::string &key,
                              OnStoreReply<KeyValue> done) {
-    if (!admitted(client, done))
+    if (!admitCall(client, done))
       return;
-    endLeases();
+    expireLeases();
     auto it = Items.find(key);
     if (it == Items.end())
       answer<KeyValue>(client, done, {StoreStatus::NotFound, {}, ""});
@@ -257,9 +258,9 @@
   store.Range = [this, client](const std::string &prefix,
                                const std::string &after, platform::ReadMode,
                                OnStoreReply<platform::StorePage> done) {
-    if (!admitted(client, done))
+    if (!admitCall(client, done))
       return;
-    endLeases();
+    expireLeases();
     platform::StorePage page;
     page.Revision = Revision;
     for (const auto &[key, item] : Items)
@@ -279,40 +280,40 @@
   };
   store.GrantLease = [this, client](int64_t ttlMs,
                                     OnStoreReply<platform::StoreLease> done) {
-    if (!admitted(client, done))
+    if (!admitCall(client, done))
       return;
     const int64_t id = NextLease++;
     Leases[id] = {absl::Milliseconds(ttlMs),
                   Loop.now() + absl::Milliseconds(ttlMs)};
-    Loop.runAfter(absl::Milliseconds(ttlMs), [this] { endLeases(); });
+    Loop.runAfter(absl::Milliseconds(ttlMs), [this] { expireLeases(); });
     answer<platform::StoreLease>(client, done,
                                  {StoreStatus::Ok, {id, ttlMs}, ""});
   };
   store.KeepLease = [this, client](int64_t id,
                                    OnStoreReply<platform::StoreLease> done) {
-    if (!admitted(client, done))
+    if (!admitCall(client, done))
       return;
-    endLeases();
+    expireLeases();
     auto it = Leases.find(id);
     if (it == Leases.end()) {
       answer<platform::StoreLease>(client, done,
                                    {StoreStatus::NotFound, {}, ""});
       return;
     }
-    it->second.Ends = Loop.now() + it->second.Ttl;
-    Loop.runAfter(it->second.Ttl, [this] { endLeases(); });
+    it->second.ExpiresAt = Loop.now() + it->second.Ttl;
+    Loop.runAfter(it->second.Ttl, [this] { expireLeases(); });
     answer<platform::StoreLease>(
         client, done,
         {StoreStatus::Ok, {id, absl::ToInt64Milliseconds(it->second.Ttl)}, ""});
   };
   store.EndLease = [this, client](int64_t id,
                                   OnStoreReply<platform::StoreLease> done) {
-    if (!admitted(client, done))
+    if (!admitCall(client, done))
       return;
     auto it = Leases.find(id);
     if (it != Leases.end())
-      it->second.Ends = Loop.now();
-    endLeases();
+      it->second.ExpiresAt = Loop.now();
+    expireLeases();
     answer<platform::StoreLease>(client, done, {StoreStatus::Ok, {}, ""});
   };
   return store;
--- a/tests/auto/cluster/memoryworker.cpp
+++ b/tests/auto/cluster/memoryworker.cpp
@@ -10,35 +10,37 @@
 using endpoints::RunEnd;
 
 namespace {
-constexpr absl::Duration StepEvery = absl::Milliseconds(10);
+constexpr absl::Duration StepInterval = absl::Milliseconds(10);
 constexpr absl::Duration OrderTimeout = absl::Milliseconds(250);
-constexpr absl::Duration LookTimeout = absl::Milliseconds(1400);
-constexpr absl::Duration Answer = absl::Milliseconds(1);
-constexpr absl::Duration StopTakes = absl::Milliseconds(300);
-constexpr int64_t HoldMaxMs = 6000;
-/// The platform's bound for news of a worker, and one heartbeat period.
-constexpr absl::Duration ShrinkBindsAfter = absl::Milliseconds(3000 + 1500);
-constexpr absl::Duration CrashAfterStart = absl::Milliseconds(10);
-constexpr absl::Duration BackAfterCrash = absl::Seconds(2);
+constexpr absl::Duration PollTimeout = absl::Milliseconds(1400);
+constexpr absl::Duration AnswerDelay = absl::Milliseconds(1);
+constexpr absl::Duration StopDuration = absl::Milliseconds(300);
+constexpr int64_t MaxLeaseMs = 6000;
+/// The platform's limit for the delay of a worker's updates, plus one heartbeat
+/// period.
+constexpr absl::Duration CapacityReductionDelay =
+    absl::Milliseconds(3000 + 1500);
+constexpr absl::Duration CrashDelay = absl::Milliseconds(10);
+constexpr absl::Duration RestartDelay = absl::Seconds(2);
 } // namespace
 
-MemoryWorker::MemoryWorker(utils::EventLoop &loop, Field &field,
+MemoryWorker::MemoryWorker(utils::EventLoop &loop, SharedWorkerState &shared,
                            std::string name, std::string rack,
                            core::Resources capacity, uint64_t seed)
-    : Loop(loop), All(field), Name(std::move(name)), Random(seed) {
+    : Loop(loop), Shared(shared), Name(std::move(name)), Random(seed) {
   State.Service = "service";
   State.Rack = std::move(rack);
   State.Labels = {"a", State.Rack};
   State.Capacity = capacity;
-  Born = Loop.now();
-  State.Life = {Name + "-0", bornMs()};
-  Loop.runAfter(StepEvery, [this] { step(); });
+  IncarnationStart = Loop.now();
+  State.Life = {Name + "-0", randomStartTimeMs()};
+  Loop.runAfter(StepInterval, [this] { step(); });
 }
 
-// By the time of day, which may step back between two lives.
-int64_t MemoryWorker::bornMs() {
+// Uses the time of day, which may step back between two incarnations.
+int64_t MemoryWorker::randomStartTimeMs() {
   const int64_t stepMs = std::uniform_int_distribution<>(-5000, 5000)(Random);
-  return absl::ToUnixMillis(Born) + 1000000 + stepMs;
+  return absl::ToUnixMillis(IncarnationStart) + 1000000 + stepMs;
 }
 
 bool MemoryWorker::chance(double share) {
@@ -47,71 +49,73 @@
 
 int64_t MemoryWorker::clockMs() const {
   return 1000 + static_cast<int64_t>(
-                    absl::ToDoubleMilliseconds(Loop.now() - Born) * ClockRate);
+                    absl::ToDoubleMilliseconds(Loop.now() - IncarnationStart) *
+                    ClockRate);
 }
 
 endpoints::Heartbeat MemoryWorker::heartbeat() {
-  return {State, ++Beats, clockMs()};
+  return {State, ++HeartbeatSequence, clockMs()};
 }
 
-void MemoryWorker::crash(Id id) {
+void MemoryWorker::crash(RestartId id) {
   for (const auto &[key, run] : Runs) {
-    All.Running[key.first].erase({State.Life.Id, key.second});
-    ++All.WorkersLostUnder[key.first];
+    Shared.Running[key.first].erase({State.Life.Id, key.second});
+    ++Shared.WorkersLostByTask[key.first];
   }
   Runs.clear();
   Ended.clear();
-  Highest.clear();
-  // Whoever looked gets no answer until it gives up.
-  for (Look &look : std::exchange(Looks, {}))
-    Loop.runAfter(LookTimeout, [done = look.Done] { done({}); });
-  Fence = 0;
-  UntilMs = 0;
-  NextEnd = 1;
-  Beats = 0;
-  Born = Loop.now();
+  HighestRunByTask.clear();
+  // Open polls get no answer and run into their timeout.
+  for (PendingPoll &poll : std::exchange(PendingPolls, {}))
+    Loop.runAfter(PollTimeout, [done = poll.Done] { done({}); });
+  FencingToken = 0;
+  LeaseUntilMs = 0;
+  NextEndNumber = 1;
+  HeartbeatSequence = 0;
+  IncarnationStart = Loop.now();
   State.Draining = false;
-  if (id == Id::New)
-    State.Life.Id = Name + "-" + std::to_string(++Lives);
-  State.Life.BornMs = bornMs();
+  if (id == RestartId::New)
+    State.Life.Id = Name + "-" + std::to_string(++IncarnationCount);
+  State.Life.BornMs = randomStartTimeMs();
 }
 
 void MemoryWorker::setCapacity(core::Resources capacity) {
-  Capacities.emplace_back(Loop.now(), State.Capacity);
+  PreviousCapacities.emplace_back(Loop.now(), State.Capacity);
   State.Capacity = capacity;
 }
 
-core::Resources MemoryWorker::bindingCapacity() const {
+core::Resources MemoryWorker::enforcedCapacity() const {
   core::Resources most = State.Capacity;
-  for (const auto &[until, capacity] : Capacities)
-    if (Loop.now() - until < ShrinkBindsAfter)
+  for (const auto &[until, capacity] : PreviousCapacities)
+    if (Loop.now() - until < CapacityReductionDelay)
       most = {std::max(most.MilliCores, capacity.MilliCores),
               std::max(most.MemoryMb, capacity.MemoryMb),
               std::max(most.Accelerators, capacity.Accelerators)};
   return most;
 }
 
-void MemoryWorker::fall(absl::Duration backAfter, Id id) {
-  std::vector<Look> open = std::exchange(Looks, {});
+void MemoryWorker::crashFor(absl::Duration downtime, RestartId id) {
+  std::vector<PendingPoll> pending = std::exchange(PendingPolls, {});
   crash(id);
-  BackAt = Loop.now() + backAfter;
-  for (Look &look : open)
-    Loop.runAfter(Answer, [done = look.Done] { done({}); });
+  ListensFrom = Loop.now() + downtime;
+  for (PendingPoll &poll : pending)
+    Loop.runAfter(AnswerDelay, [done = poll.Done] { done({}); });
 }
 
-// At most two starts may follow the third crash.
+// At most two starts of a task may follow the third crash that it caused.
 void MemoryWorker::countStart(const std::string &task) {
-  ++All.Starts;
-  if (!All.Crashes || !All.Crashes(task))
+  ++Shared.Starts;
+  if (!Shared.CrashesWorker || !Shared.CrashesWorker(task))
     return;
-  if (All.CrashesUnder[task] >= 3 && ++All.StartsAfterThirdCrash[task] == 3)
-    All.Violations.push_back(task + " started three times more after three "
-                                    "workers had crashed under it");
-  Loop.runAfter(CrashAfterStart, [this, task, life = State.Life] {
-    if (life != State.Life)
+  if (Shared.CrashesByTask[task] >= 3 &&
+      ++Shared.StartsAfterThirdCrash[task] == 3)
+    Shared.Violations.push_back(
+        task + " was started three times after it had crashed three workers");
+  Loop.runAfter(CrashDelay, [this, task, incarnation = State.Life] {
+    if (incarnation != State.Life)
       return;
-    ++All.CrashesUnder[task];
-    fall(BackAfterCrash);
+    ++Shared.CrashesByTask[task];
+    crashFor(RestartDelay);
   });
 }
 
@@ -128,73 +132,77 @@
   return {CallStatus::Refused, reason, clockMs(), "refused"};
 }
 
-void MemoryWorker::extend(int64_t untilMs) {
-  UntilMs = std::max(UntilMs, std::min(untilMs, clockMs() + HoldMaxMs));
+void MemoryWorker::extendLease(int64_t untilMs) {
+  LeaseUntilMs =
+      std::max(LeaseUntilMs, std::min(untilMs, clockMs() + MaxLeaseMs));
 }
 
 CallOutcome MemoryWorker::start(const endpoints::StartCall &call) {
   const Key key{call.Order.Task, call.Order.Run};
-  if (call.Epoch < Fence)
+  if (call.Epoch < FencingToken)
     return refuse(RefusalReason::Fenced);
-  Fence = call.Epoch;
+  FencingToken = call.Epoch;
   if (Runs.count(key) != 0)
     return ok();
-  extend(call.UntilMs);
-  auto highest = Highest.find(key.first);
-  if (highest != Highest.end() && key.second <= highest->second)
+  extendLease(call.UntilMs);
+  auto highest = HighestRunByTask.find(key.first);
+  if (highest != HighestRunByTask.end() && key.second <= highest->second)
     return refuse(RefusalReason::OldRun);
   if (call.UntilMs <= clockMs())
     return refuse(RefusalReason::TooLate);
-  if (All.DoneAndSeen.count(key.first) != 0)
-    All.Violations.push_back(key.first + " started after its end was noted");
-  if (!All.Running[key.first].empty())
-    All.Violations.push_back(key.first + " runs twice");
-  core::Resources used = All.StepOf(key.first).room();
+  if (Shared.AcknowledgedDone.count(key.first) != 0)
+    Shared.Violations.push_back(key.first +
+                                " was started after its end was acknowledged");
+  if (!Shared.Running[key.first].empty())
+    Shared.Violations.push_back(key.first + " runs twice");
+  core::Resources used = Shared.StepOf(key.first).room();
   for (const auto &[k, run] : Runs)
-    used += All.StepOf(k.first).room();
-  if (!used.fitsIn(bindingCapacity()))
-    All.Violations.push_back(State.Life.Id + " has more than it holds");
+    used += Shared.StepOf(k.first).room();
+  if (!used.fitsIn(enforcedCapacity()))
+    Shared.Violations.push_back(State.Life.Id + " runs more than its capacity");
   countStart(key.first);
-  All.Running[key.first].insert({State.Life.Id, key.second});
+  Shared.Running[key.first].insert({State.Life.Id, key.second});
   Run run;
-  run.Began = Loop.now();
+  run.StartedAt = Loop.now();
   Runs[key] = run;
   return ok();
 }
 
 CallOutcome MemoryWorker::stop(const endpoints::StopCall &call) {
   const Key key{call.Order.Task, call.Order.Run};
-  if (call.Epoch < Fence)
+  if (call.Epoch < FencingToken)
     return refuse(RefusalReason::Fenced);
-  Fence = call.Epoch;
-  Highest[key.first] = std::max(Highest[key.first], key.second);
+  FencingToken = call.Epoch;
+  HighestRunByTask[key.first] =
+      std::max(HighestRunByTask[key.first], key.second);
   auto it = Runs.find(key);
   if (it != Runs.end())
-    it->second.StopAt = std::min(it->second.StopAt, Loop.now() + StopTakes);
+    it->second.StopAt = std::min(it->second.StopAt, Loop.now() + StopDuration);
   return ok();
 }
 
-endpoints::HoldReply MemoryWorker::hold(const endpoints::HoldCall &call) {
+endpoints::HoldReply MemoryWorker::keepAlive(const endpoints::HoldCall &call) {
   endpoints::HoldReply reply;
   reply.Outcome = ok();
   reply.Outcome.BornMs = State.Life.BornMs;
-  if (call.Epoch < Fence) {
+  if (call.Epoch < FencingToken) {
     reply.Outcome = refuse(RefusalReason::Fenced);
     return reply;
   }
-  Fence = call.Epoch;
+  FencingToken = call.Epoch;
   if (call.UntilMs > 0)
-    extend(call.UntilMs);
+    extendLease(call.UntilMs);
   for (const auto &e : Ended)
     if (e.Number <= call.SeenUpto && e.How == RunEnd::Done &&
-        LapsesAtEnd[e.Number] == Lapses)
-      All.DoneAndSeen.insert(e.Task);
+        LapseCountAtEnd[e.Number] == LapseCount)
+      Shared.AcknowledgedDone.insert(e.Task);
   Ended.erase(
       std::remove_if(Ended.begin(), Ended.end(),
                      [&](const auto &e) { return e.Number <= call.SeenUpto; }),
       Ended.end());
   for (const auto &[key, run] : Runs) {
-    const double share = absl::FDivDuration(run.Worked, All.WorkOf(key.first));
+    const double share =
+        absl::FDivDuration(run.WorkDone, Shared.WorkTimeOf(key.first));
     reply.Running.push_back({key.first, key.second, run.Saved,
                              static_cast<int>(100 * std::min(1.0, share))});
   }
@@ -202,9 +210,9 @@
   return reply;
 }
 
-void MemoryWorker::order(const endpoints::WorkerLife &life,
-                         const std::function<CallOutcome()> &carryOut,
-                         const std::function<void(CallOutcome)> &done) {
+void MemoryWorker::deliverOrder(const endpoints::WorkerLife &incarnation,
+                                const std::function<CallOutcome()> &execute,
+                                const std::function<void(CallOutcome)> &done) {
   auto noAnswer = [this, done] {
     Loop.runAfter(OrderTimeout, [done] {
       done({CallStatus::NoAnswer, RefusalReason::None, 0, "timeout"});
@@ -214,43 +222,44 @@
     noAnswer();
     return;
   }
-  if (!listens()) {
-    Loop.runAfter(Answer, [done] {
+  if (!isListening()) {
+    Loop.runAfter(AnswerDelay, [done] {
       done({CallStatus::NotThere, RefusalReason::None, 0, "refused"});
     });
     return;
   }
-  // Calls name the id only.
-  auto checked = [this, life, carryOut]() -> CallOutcome {
-    if (!listens())
+  // Calls name only the id of the incarnation, not its start time.
+  auto executeIfAddressed = [this, incarnation, execute]() -> CallOutcome {
+    if (!isListening())
       return {};
-    if (life.Id != State.Life.Id)
+    if (incarnation.Id != State.Life.Id)
       return {CallStatus::OtherLife, RefusalReason::None, clockMs(), ""};
-    return carryOut();
+    return execute();
   };
-  if (chance(LateOrders)) {
+  if (chance(LateOrderShare)) {
     const auto ms = std::uniform_int_distribution<>(2000, 12000)(Random);
-    Loop.runAfter(absl::Milliseconds(ms), [checked] { checked(); });
+    Loop.runAfter(absl::Milliseconds(ms),
+                  [executeIfAddressed] { executeIfAddressed(); });
     noAnswer();
     return;
   }
-  Loop.runAfter(Answer, [this, checked, done, noAnswer] {
-    const CallOutcome outcome = checked();
-    if (chance(LostAnswers))
+  Loop.runAfter(AnswerDelay, [this, executeIfAddressed, done, noAnswer] {
+    const CallOutcome outcome = executeIfAddressed();
+    if (chance(LostOrderAnswerShare))
       noAnswer();
     else
-      Loop.runAfter(Answer, [done, outcome] { done(outcome); });
+      Loop.runAfter(AnswerDelay, [done, outcome] { done(outcome); });
   });
 }
 
 endpoints::WorkerCalls MemoryWorker::calls() {
   endpoints::WorkerCalls calls;
   calls.Start = [this](const endpoints::StartCall &c, const auto &done) {
-    order(
+    deliverOrder(
         c.Life, [this, c] { return start(c); }, done);
   };
   calls.Stop = [this](const endpoints::StopCall &c, const auto &done) {
-    order(
+    deliverOrder(
         c.Life, [this, c] { return stop(c); }, done);
   };
   calls.Hold = [this](const endpoints::HoldCall &c, const auto &done) {
@@ -258,8 +267,8 @@
       Loop.runAfter(OrderTimeout, [done] { done({}); });
       return;
     }
-    Loop.runAfter(Answer, [this, c, done] {
-      if (!listens()) {
+    Loop.runAfter(AnswerDelay, [this, c, done] {
+      if (!isListening()) {
         endpoints::HoldReply reply;
         reply.Outcome.Status = CallStatus::NotThere;
         done(reply);
@@ -271,46 +280,48 @@
         done(reply);
         return;
       }
-      const endpoints::HoldReply reply = hold(c);
+      const endpoints::HoldReply reply = keepAlive(c);
       if (c.WaitMs == 0 || !reply.Ended.empty() ||
           reply.Outcome.Status != CallStatus::Ok) {
         done(reply);
         return;
       }
-      Looks.push_back({c, done, Loop.now() + absl::Milliseconds(c.WaitMs)});
+      PendingPolls.push_back(
+          {c, done, Loop.now() + absl::Milliseconds(c.WaitMs)});
     });
   };
   return calls;
 }
 
-void MemoryWorker::end(const Key &key, RunEnd how) {
+void MemoryWorker::endRun(const Key &key, RunEnd how) {
   const std::string saved = Runs.at(key).Saved;
   Runs.erase(key);
-  All.Running[key.first].erase({State.Life.Id, key.second});
-  Highest[key.first] = std::max(Highest[key.first], key.second);
-  LapsesAtEnd[NextEnd] = Lapses;
-  Ended.push_back({NextEnd++, key.first, key.second, how, saved});
+  Shared.Running[key.first].erase({State.Life.Id, key.second});
+  HighestRunByTask[key.first] =
+      std::max(HighestRunByTask[key.first], key.second);
+  LapseCountAtEnd[NextEndNumber] = LapseCount;
+  Ended.push_back({NextEndNumber++, key.first, key.second, how, saved});
 }
 
-void MemoryWorker::answerLooks() {
-  std::vector<Look> still;
-  for (Look &look : Looks) {
-    if (Ended.empty() && Loop.now() < look.Until) {
-      still.push_back(std::move(look));
+void MemoryWorker::answerPolls() {
+  std::vector<PendingPoll> remaining;
+  for (PendingPoll &poll : PendingPolls) {
+    if (Ended.empty() && Loop.now() < poll.Until) {
+      remaining.push_back(std::move(poll));
       continue;
     }
-    endpoints::HoldCall again = look.Call;
-    again.UntilMs = 0;
-    look.Done(hold(again));
+    endpoints::HoldCall pollOnly = poll.Call;
+    pollOnly.UntilMs = 0;
+    poll.Done(keepAlive(pollOnly));
   }
-  Looks = std::move(still);
+  PendingPolls = std::move(remaining);
 }
 
 void MemoryWorker::step() {
   std::vector<std::pair<Key, RunEnd>> ends;
-  const bool lapsed = clockMs() >= UntilMs;
-  Lapses += lapsed && !Lapsed ? 1 : 0;
-  Lapsed = lapsed;
+  const bool lapsed = clockMs() >= LeaseUntilMs;
+  LapseCount += lapsed && !LeaseLapsed ? 1 : 0;
+  LeaseLapsed = lapsed;
   for (auto &[key, run] : Runs) {
     if (lapsed) {
       ends.emplace_back(key, RunEnd::Lapsed);
@@ -319,15 +330,15 @@
     } else if (FailsAll) {
       ends.emplace_back(key, RunEnd::Failed);
     } else if (!Hangs) {
-      run.Worked += StepEvery;
-      if (run.Worked >= All.WorkOf(key.first))
+      run.WorkDone += StepInterval;
+      if (run.WorkDone >= Shared.WorkTimeOf(key.first))
         ends.emplace_back(key, RunEnd::Done);
     }
   }
   for (const auto &[key, how] : ends)
-    end(key, how);
-  answerLooks();
-  Loop.runAfter(StepEvery, [this] { step(); });
+    endRun(key, how);
+  answerPolls();
+  Loop.runAfter(StepInterval, [this] { step(); });
 }
 
 } // namespace oriolebay::cluster
--- a/tests/auto/cluster/memoryworker.h
+++ b/tests/auto/cluster/memoryworker.h
@@ -14,114 +14,120 @@
 
 namespace oriolebay::cluster {
 
-/// What all workers of a cluster share: how tasks behave, and what was seen.
-struct Field {
+/// State that all workers of a cluster share: how tasks behave, and what has
+/// been observed.
+struct SharedWorkerState {
   std::function<core::StepSpec(const std::string &task)> StepOf;
-  std::function<absl::Duration(const std::string &task)> WorkOf;
+  std::function<absl::Duration(const std::string &task)> WorkTimeOf;
   /// Runs by task, over all workers that are up.
   std::map<std::string, std::set<std::pair<std::string, int64_t>>> Running;
-  std::set<std::string> DoneAndSeen;
-  /// Whether the task crashes each worker that starts it.
-  std::function<bool(const std::string &task)> Crashes;
-  std::map<std::string, int> CrashesUnder;
-  /// Workers that went down, for whatever cause, while they ran the task.
-  std::map<std::string, int> WorkersLostUnder;
+  std::set<std::string> AcknowledgedDone;
+  /// Returns whether the task crashes each worker that starts it.
+  std::function<bool(const std::string &task)> CrashesWorker;
+  std::map<std::string, int> CrashesByTask;
+  /// Number of workers that went down, for whatever cause, while they ran the
+  /// task.
+  std::map<std::string, int> WorkersLostByTask;
   std::map<std::string, int> StartsAfterThirdCrash;
   std::vector<std::string> Violations;
   int Starts = 0;
 };
 
-/// One worker, life after life: it runs what it is told under the rules that
-/// the platform's workers keep (leases on its own clock, fencing tokens, ends
-/// listed until they were taken note of), on the loop's time.
+/// One worker through its successive incarnations, on the loop's time. It
+/// executes orders under the rules of the platform's workers: leases on its own
+/// clock, fencing tokens, and ends that are listed until they are acknowledged.
 class MemoryWorker {
 public:
-  MemoryWorker(utils::EventLoop &loop, Field &field, std::string name,
-               std::string rack, core::Resources capacity, uint64_t seed);
+  MemoryWorker(utils::EventLoop &loop, SharedWorkerState &shared,
+               std::string name, std::string rack, core::Resources capacity,
+               uint64_t seed);
 
   endpoints::WorkerCalls calls();
-  /// The heartbeat to hand to the agent beside it.
+  /// Returns the heartbeat to pass to the agent beside the worker.
   endpoints::Heartbeat heartbeat();
-  const std::string &life() const { return State.Life.Id; }
+  const std::string &incarnation() const { return State.Life.Id; }
 
-  /// The id that a worker has when it starts again.
-  enum class Id { New, Same };
-  /// It dies and stands up again at once as another life.
-  void crash(Id id = Id::New);
-  /// It dies; nobody listens there until it stands up again as another life.
-  void fall(absl::Duration backAfter, Id id = Id::New);
-  bool listens() const { return Loop.now() >= BackAt; }
+  /// The id that a worker has after a restart.
+  enum class RestartId { New, Same };
+  /// Ends the process and starts it again at once as another incarnation.
+  void crash(RestartId id = RestartId::New);
+  /// Ends the process. Nothing listens at the worker's address until it starts
+  /// again after downtime as another incarnation.
+  void crashFor(absl::Duration downtime, RestartId id = RestartId::New);
+  bool isListening() const { return Loop.now() >= ListensFrom; }
   void drain(int64_t remainingMs);
-  /// What it says of itself from now on. A smaller one binds later.
+  /// Sets the capacity that the worker reports from now on. A smaller one is
+  /// enforced only after a delay.
   void setCapacity(core::Resources capacity);
 
-  /// This share of orders gets no answer and is carried out 2 to 12 s later.
-  double LateOrders = 0;
-  /// This share of orders is carried out and its answer lost.
-  double LostAnswers = 0;
+  /// Share of orders that get no answer and are carried out 2 to 12 s later.
+  double LateOrderShare = 0;
+  /// Share of orders that are carried out but whose answer is lost.
+  double LostOrderAnswerShare = 0;
   bool FailsAll = false;
   bool Hangs = false;
-  /// Nobody answers.
+  /// No call is answered.
   bool Down = false;
-  /// Its clock against real time.
+  /// Speed of the worker's clock relative to real time.
   double ClockRate = 1.0;
   std::set<std::string> Draining;
 
 private:
   struct Run {
-    absl::Time Began;
-    absl::Duration Worked = absl::ZeroDuration();
+    absl::Time StartedAt;
+    absl::Duration WorkDone = absl::ZeroDuration();
     absl::Time StopAt = absl::InfiniteFuture();
     std::string Saved;
   };
   using Key = std::pair<std::string, int64_t>;
 
   void countStart(const std::string &task);
-  core::Resources bindingCapacity() const;
-  int64_t bornMs();
+  core::Resources enforcedCapacity() const;
+  int64_t randomStartTimeMs();
   int64_t clockMs() const;
   bool chance(double share);
   endpoints::CallOutcome ok() const;
   endpoints::CallOutcome refuse(endpoints::RefusalReason reason) const;
   endpoints::CallOutcome start(const endpoints::StartCall &call);
   endpoints::CallOutcome stop(const endpoints::StopCall &call);
-  endpoints::HoldReply hold(const endpoints::HoldCall &call);
-  void order(const endpoints::WorkerLife &life,
-             const std::function<endpoints::CallOutcome()> &carryOut,
-             const std::function<void(endpoints::CallOutcome)> &done);
-  void extend(int64_t untilMs);
+  endpoints::HoldReply keepAlive(const endpoints::HoldCall &call);
+  void deliverOrder(const endpoints::WorkerLife &incarnation,
+                    const std::function<endpoints::CallOutcome()> &execute,
+                    const std::function<void(endpoints::CallOutcome)> &done);
+  void extendLease(int64_t untilMs);
   void step();
-  void end(const Key &key, endpoints::RunEnd how);
-  void answerLooks();
+  void endRun(const Key &key, endpoints::RunEnd how);
+  void answerPolls();
 
   utils::EventLoop &Loop;
-  Field &All;
+  SharedWorkerState &Shared;
   const std::string Name;
   std::mt19937_64 Random;
   endpoints::WorkerState State;
-  int Lives = 0;
-  int64_t Beats = 0;
-  absl::Time Born;
-  absl::Time BackAt = absl::InfinitePast();
-  /// Earlier capacities, and until when each was what it had.
-  std::vector<std::pair<absl::Time, core::Resources>> Capacities;
-  int64_t Fence = 0;
-  int64_t UntilMs = 0;
-  int64_t NextEnd = 1;
-  /// How often its lease has lapsed, and how often it had when each end came:
-  /// an end counts as noted only if the lease held in between.
-  int Lapses = 0;
-  bool Lapsed = true;
-  std::map<int64_t, int> LapsesAtEnd;
+  int IncarnationCount = 0;
+  int64_t HeartbeatSequence = 0;
+  absl::Time IncarnationStart;
+  absl::Time ListensFrom = absl::InfinitePast();
+  /// Earlier capacities, each with the time until which it was valid.
+  std::vector<std::pair<absl::Time, core::Resources>> PreviousCapacities;
+  int64_t FencingToken = 0;
+  int64_t LeaseUntilMs = 0;
+  int64_t NextEndNumber = 1;
+  /// Number of times that the lease has lapsed, in total and when each end was
+  /// listed. An end counts as acknowledged only if the lease has not lapsed
+  /// since then.
+  int LapseCount = 0;
+  bool LeaseLapsed = true;
+  std::map<int64_t, int> LapseCountAtEnd;
   std::map<Key, Run> Runs;
-  std::map<std::string, int64_t> Highest;
+  std::map<std::string, int64_t> HighestRunByTask;
   std::vector<endpoints::EndedTask> Ended;
-  struct Look {
+  struct PendingPoll {
     endpoints::HoldCall Call;
     std::function<void(endpoints::HoldReply)> Done;
     absl::Time Until;
   };
-  std::vector<Look> Looks;
+  std::vector<PendingPoll> PendingPolls;
 };
 
 } // namespace oriolebay::cluster
--- a/tests/auto/cluster/seeds.h
+++ b/tests/auto/cluster/seeds.h
@@ -6,9 +6,9 @@
 
 namespace oriolebay::cluster {
 
-/// The first and the last seed to play: a few in CI, by hand as many as the
-/// variable ORIOLEBAY_SEEDS says ("1-2000").
-inline std::pair<int, int> seedsToPlay() {
+/// Returns the first and the last seed to run: a few by default, as in CI, or
+/// the range in the environment variable ORIOLEBAY_SEEDS, such as "1-2000".
+inline std::pair<int, int> seedsToRun() {
   int first = 1;
   int last = 60;
   if (const char *range = std::getenv("ORIOLEBAY_SEEDS"))
--- a/tests/auto/cluster/tst_answerorder.cpp
+++ b/tests/auto/cluster/tst_answerorder.cpp
@@ -17,176 +17,183 @@
 
 constexpr int Entries = 3;
 constexpr const char *Queue = "q1";
-/// As long as a caller waits.
-constexpr int LongestAnswerMs = 3000;
+/// How long a caller waits for an answer.
+constexpr int CallerTimeoutMs = 3000;
 
-/// A key is in the configurations of its number and of the next one.
+/// The configuration of this number and the next one contain the key.
 std::string keyOf(int64_t number) { return "key" + std::to_string(number); }
 
-bool decided(const jobs::CallAnswer &answer) {
+bool isDecided(const jobs::CallAnswer &answer) {
   return answer.Result != CallResult::NotDone &&
          answer.Result != CallResult::Open;
 }
 
-/// A cluster whose entries lose the store, its news and each other in all ways,
-/// and are killed and started again.
-class StruckCluster {
+/// A cluster whose entries lose the store, its updates and each other in all
+/// ways, and are killed and started again.
+class FaultyCluster {
 public:
-  explicit StruckCluster(uint64_t seed)
+  explicit FaultyCluster(uint64_t seed)
       : Random(seed), Cluster({Entries, 3, 3, seed}) {}
 
   MemoryCluster &cluster() { return Cluster; }
-  /// Grows with each kill of entry.
-  int life(int entry) const { return Lives.at(entry); }
-  int any(int from, int to) {
+  /// Grows with each kill of the entry.
+  int incarnation(int entry) const { return Incarnations.at(entry); }
+  int randomInt(int from, int to) {
     return std::uniform_int_distribution<>(from, to)(Random);
   }
 
-  void strike(int n) {
+  void injectFault(int n) {
     const std::string entry = MemoryCluster::entryName(n);
     const std::string other =
-        MemoryCluster::entryName((n + any(1, Entries - 1)) % Entries);
+        MemoryCluster::entryName((n + randomInt(1, Entries - 1)) % Entries);
     MemoryStore::Faults &store = Cluster.store().faults(entry);
-    switch (any(0, 5)) {
+    switch (randomInt(0, 5)) {
     case 0:
       store.Silent = true;
-      return later([&store] { store.Silent = false; });
+      return healLater([&store] { store.Silent = false; });
     case 1:
       store.Refuses = true;
-      return later([&store] { store.Refuses = false; });
+      return healLater([&store] { store.Refuses = false; });
     case 2:
       store.WatchesSilent = true;
-      return later([&store] { store.WatchesSilent = false; });
+      return healLater([&store] { store.WatchesSilent = false; });
     case 3:
-      store.Delay = absl::Milliseconds(any(4, 400));
-      return later([&store] { store.Delay = absl::Milliseconds(4); });
+      store.Delay = absl::Milliseconds(randomInt(4, 400));
+      return healLater([&store] { store.Delay = absl::Milliseconds(4); });
     case 4:
-      Cluster.cut(other, true);
-      return later([this, other] { Cluster.cut(other, false); });
+      Cluster.setPartitioned(other, true);
+      return healLater([this, other] { Cluster.setPartitioned(other, false); });
     default:
       Cluster.killEntry(n);
-      ++Lives[n];
-      return later([this, n] {
-        if (!Cluster.entryUp(n))
+      ++Incarnations[n];
+      return healLater([this, n] {
+        if (!Cluster.isEntryUp(n))
           Cluster.startEntry(n);
       });
     }
   }
 
 private:
-  void later(std::function<void()> heal) {
-    Cluster.loop().runAfter(absl::Milliseconds(any(50, 4000)), std::move(heal));
+  void healLater(std::function<void()> heal) {
+    Cluster.loop().runAfter(absl::Milliseconds(randomInt(50, 4000)),
+                            std::move(heal));
   }
 
   std::mt19937_64 Random;
   MemoryCluster Cluster;
-  std::array<int, Entries> Lives{};
+  std::array<int, Entries> Incarnations{};
 };
 
-/// What callers of one entry can tell of the configurations that it has gone
-/// by, in one lifetime of the entry.
-class SeenByCallers {
+/// What callers of one entry can conclude about the configurations that the
+/// entry has used, during one incarnation of the entry.
+class ConfigView {
 public:
-  int64_t oldest() const { return Oldest; }
-
-  /// Takes an answer to a call with the key of number. A call that was sent
-  /// when oldest() was sentAt must not be answered by an older one; newest is
-  /// the newest configuration that exists. What is wrong with it, or nothing.
-  std::string take(const jobs::CallAnswer &answer, int64_t number,
-                   int64_t sentAt, int64_t newest) {
-    if (!decided(answer))
+  int64_t minVersion() const { return MinVersion; }
+
+  /// Evaluates the answer to a call with the key of this number. The call was
+  /// sent when minVersion() was minVersionAtSend, so it must not be answered by
+  /// an older configuration. newestVersion is the newest configuration that
+  /// exists. Returns a description of the violation, or an empty string.
+  std::string applyAnswer(const jobs::CallAnswer &answer, int64_t number,
+                          int64_t minVersionAtSend, int64_t newestVersion) {
+    if (!isDecided(answer))
       return "";
     if (answer.Result != CallResult::BadKey) {
-      if (sentAt > number + 1)
-        return "served a key that is gone";
-      Oldest = std::max(Oldest, number);
+      if (minVersionAtSend > number + 1)
+        return "served a key that was removed";
+      MinVersion = std::max(MinVersion, number);
       return "";
     }
-    if (sentAt < number)
+    if (minVersionAtSend < number)
       return "";
-    if (newest <= number + 1)
-      return "refused a key that it had known";
-    Oldest = std::max(Oldest, number + 2);
+    if (newestVersion <= number + 1)
+      return "refused a key that its configuration contains";
+    MinVersion = std::max(MinVersion, number + 2);
     return "";
   }
 
 private:
-  int64_t Oldest = 0;
+  int64_t MinVersion = 0;
 };
 
-/// One day: the configuration changes all the time, the store and the other
-/// entries come and go for each entry, and callers ask with keys that are
-/// about to come or have just gone.
-class ConfigDay {
+/// The configuration changes all the time, each entry loses and regains the
+/// store and the other entries, and callers use keys that are about to be added
+/// or have just been removed.
+class ConfigChangeScenario {
 public:
-  explicit ConfigDay(uint64_t seed) : Struck(seed) {}
+  explicit ConfigChangeScenario(uint64_t seed) : Faulty(seed) {}
 
-  /// The first thing that callers saw go back, or nothing.
-  std::string play() {
+  /// Returns the first change that callers saw reverted, or an empty string.
+  std::string run() {
     for (int n = 0; n < 3; ++n)
-      change();
+      changeConfig();
     Cluster.runFor(absl::Seconds(4));
-    for (int tick = 0; tick < 1000 && Broken.empty(); ++tick) {
-      if (any(1, 40) == 1)
-        change();
-      if (any(1, 25) == 1)
-        Struck.strike(any(0, Entries - 1));
-      if (any(1, 3) == 1)
-        ask(any(0, Entries - 1), Newest - any(0, 3));
+    for (int tick = 0; tick < 1000 && Violation.empty(); ++tick) {
+      if (randomInt(1, 40) == 1)
+        changeConfig();
+      if (randomInt(1, 25) == 1)
+        Faulty.injectFault(randomInt(0, Entries - 1));
+      if (randomInt(1, 3) == 1)
+        sendCall(randomInt(0, Entries - 1), NewestVersion - randomInt(0, 3));
       Cluster.runFor(absl::Milliseconds(20));
-      judge();
+      checkAnswers();
     }
-    return Broken;
+    return Violation;
   }
 
-  int answered() const { return Answered; }
+  int answeredCount() const { return AnsweredCount; }
 
 private:
-  struct Asked {
+  struct PendingCall {
     int Entry;
-    int Life;
+    int Incarnation;
     int64_t Number;
-    int64_t SentAt;
-    std::shared_ptr<MemoryCluster::Called> Call;
+    int64_t MinVersionAtSend;
+    std::shared_ptr<MemoryCluster::CallerCall> Call;
   };
 
-  int any(int from, int to) { return Struck.any(from, to); }
+  int randomInt(int from, int to) { return Faulty.randomInt(from, to); }
 
-  void change() {
-    ++Newest;
-    Cluster.configure({"always", keyOf(Newest - 1), keyOf(Newest)});
+  void changeConfig() {
+    ++NewestVersion;
+    Cluster.configure(
+        {"always", keyOf(NewestVersion - 1), keyOf(NewestVersion)});
   }
 
-  void ask(int entry, int64_t number) {
-    const int life = Struck.life(entry);
-    Open.push_back({entry, life, number, Seen[{entry, life}].oldest(),
-                    Cluster.count(entry, keyOf(number), Queue)});
+  void sendCall(int entry, int64_t number) {
+    const int incarnation = Faulty.incarnation(entry);
+    PendingCalls.push_back({entry, incarnation, number,
+                            ConfigViews[{entry, incarnation}].minVersion(),
+                            Cluster.countQueued(entry, keyOf(number), Queue)});
   }
 
-  void judge() {
-    const auto first =
-        std::partition(Open.begin(), Open.end(),
-                       [](const Asked &asked) { return !asked.Call->Answer; });
-    for (auto it = first; it != Open.end(); ++it) {
-      const std::string wrong = Seen[{it->Entry, it->Life}].take(
-          *it->Call->Answer, it->Number, it->SentAt, Newest);
-      Answered += decided(*it->Call->Answer) ? 1 : 0;
-      if (!wrong.empty())
-        Broken = MemoryCluster::entryName(it->Entry) + " " + wrong + ": " +
-                 it->Call->Key + ", after configuration " +
-                 std::to_string(it->SentAt) + " or newer";
+  void checkAnswers() {
+    const auto first = std::partition(
+        PendingCalls.begin(), PendingCalls.end(),
+        [](const PendingCall &pending) { return !pending.Call->Answer; });
+    for (auto it = first; it != PendingCalls.end(); ++it) {
+      const std::string violation =
+          ConfigViews[{it->Entry, it->Incarnation}].applyAnswer(
+              *it->Call->Answer, it->Number, it->MinVersionAtSend,
+              NewestVersion);
+      AnsweredCount += isDecided(*it->Call->Answer) ? 1 : 0;
+      if (!violation.empty())
+        Violation = MemoryCluster::entryName(it->Entry) + " " + violation +
+                    ": " + it->Call->Key +
+                    ", after it had used configuration " +
+                    std::to_string(it->MinVersionAtSend) + " or newer";
     }
-    Open.erase(first, Open.end());
+    PendingCalls.erase(first, PendingCalls.end());
   }
 
-  StruckCluster Struck;
-  MemoryCluster &Cluster = Struck.cluster();
-  int64_t Newest = 0;
-  /// By entry and its life.
-  std::map<std::pair<int, int>, SeenByCallers> Seen;
-  std::vector<Asked> Open;
-  int Answered = 0;
-  std::string Broken;
+  FaultyCluster Faulty;
+  MemoryCluster &Cluster = Faulty.cluster();
+  int64_t NewestVersion = 0;
+  /// By entry and its incarnation.
+  std::map<std::pair<int, int>, ConfigView> ConfigViews;
+  std::vector<PendingCall> PendingCalls;
+  int AnsweredCount = 0;
+  std::string Violation;
 };
 
 core::JobSpec job(const std::string &id, int64_t ms) {
@@ -201,7 +208,7 @@
   return spec;
 }
 
-std::unique_ptr<MemoryCluster> serving() {
+std::unique_ptr<MemoryCluster> servingCluster() {
   auto cluster =
       std::make_unique<MemoryCluster>(MemoryCluster::Options{Entries, 3, 3, 1});
   cluster->configure({"k1", "k2"});
@@ -210,156 +217,161 @@
 }
 
 CallResult resultOf(MemoryCluster &cluster,
-                    const std::shared_ptr<MemoryCluster::Called> &call) {
-  for (int ms = 0; !call->Answer && ms < LongestAnswerMs; ++ms)
+                    const std::shared_ptr<MemoryCluster::CallerCall> &call) {
+  for (int ms = 0; !call->Answer && ms < CallerTimeoutMs; ++ms)
     cluster.runFor(absl::Milliseconds(1));
   return call->Answer ? call->Answer->Result : CallResult::Open;
 }
 
-// Guards against an entry that serves by its own old configuration after it has
-// handed a call on from a fresh view, as the store would not confirm that.
-TEST(ConfigOrder, EntryThatTheStoreHasJustRefusedDoesNotGoBack) {
-  auto cluster = serving();
-  const int away = (cluster->leader() + 1) % Entries;
+// Guards against an entry that answers by its own old configuration, which it
+// read recently, after it has forwarded a call because the store would not
+// confirm that configuration and another entry has answered by a newer one.
+TEST(ConfigMonotonicity, EntryRefusedByTheStoreDoesNotUseItsOldConfig) {
+  auto cluster = servingCluster();
+  const int isolated = (cluster->leader() + 1) % Entries;
   MemoryStore::Faults &store =
-      cluster->store().faults(MemoryCluster::entryName(away));
+      cluster->store().faults(MemoryCluster::entryName(isolated));
   store.Refuses = true;
   store.WatchesSilent = true;
   cluster->configure({"k2", "k3"});
   cluster->runFor(absl::Milliseconds(50));
-  ASSERT_EQ(resultOf(*cluster, cluster->count(away, "k3", Queue)),
+  ASSERT_EQ(resultOf(*cluster, cluster->countQueued(isolated, "k3", Queue)),
             CallResult::Ok);
-  EXPECT_EQ(resultOf(*cluster, cluster->count(away, "k1", Queue)),
+  EXPECT_EQ(resultOf(*cluster, cluster->countQueued(isolated, "k1", Queue)),
             CallResult::BadKey);
 }
 
-// Guards against an entry that passes on what another one decided by an older
-// configuration than it has served by itself.
-TEST(ConfigOrder, AnswerOfAnEntryThatIsBehindIsNotPassedOn) {
-  auto cluster = serving();
-  const int behind = cluster->leader();
-  const int newer = (behind + 1) % Entries;
-  const int third = (behind + 2) % Entries;
-  cluster->cut(MemoryCluster::entryName(third), true);
-  cluster->store().faults(MemoryCluster::entryName(behind)).Silent = true;
+// Guards against an entry that forwards the answer of another entry whose
+// configuration is older than one that it has already answered by itself.
+TEST(ConfigMonotonicity, AnswerOfAStaleEntryIsNotForwarded) {
+  auto cluster = servingCluster();
+  const int stale = cluster->leader();
+  const int newer = (stale + 1) % Entries;
+  const int third = (stale + 2) % Entries;
+  cluster->setPartitioned(MemoryCluster::entryName(third), true);
+  cluster->store().faults(MemoryCluster::entryName(stale)).Silent = true;
   cluster->configure({"k2", "k3"});
   cluster->runFor(absl::Milliseconds(50));
-  ASSERT_EQ(resultOf(*cluster, cluster->count(newer, "k3", Queue)),
+  ASSERT_EQ(resultOf(*cluster, cluster->countQueued(newer, "k3", Queue)),
             CallResult::Ok);
   cluster->store().faults(MemoryCluster::entryName(newer)).Refuses = true;
-  EXPECT_NE(resultOf(*cluster, cluster->count(newer, "k1", Queue)),
+  EXPECT_NE(resultOf(*cluster, cluster->countQueued(newer, "k1", Queue)),
             CallResult::Ok);
 }
 
-// Guards against an entry that goes back where neither its own configuration
-// nor the newer one lacks the caller's key: the key has another owner.
-TEST(ConfigOrder, KeyThatChangedItsOwnerDoesNotGoBack) {
-  auto cluster = serving();
-  const int away = (cluster->leader() + 1) % Entries;
-  cluster->submit(away, "k1", job("over", 100));
-  cluster->submit(away, "k1", job("runs", 20000));
+// Guards against an entry that returns to its old configuration because both
+// its own and the newer one contain the caller's key, which now belongs to
+// another organisation.
+TEST(ConfigMonotonicity, KeyMovedToAnotherOrganisationStaysMoved) {
+  auto cluster = servingCluster();
+  const int isolated = (cluster->leader() + 1) % Entries;
+  cluster->submit(isolated, "k1", job("over", 100));
+  cluster->submit(isolated, "k1", job("runs", 20000));
   cluster->runFor(absl::Seconds(2));
-  ASSERT_EQ(cluster->stored("over"), jobs::JobState::Completed);
-  cluster->store().faults(MemoryCluster::entryName(away)).Silent = true;
-  cluster->configureOwners({{"another", {"k1"}, 16}});
+  ASSERT_EQ(cluster->storedState("over"), jobs::JobState::Completed);
+  cluster->store().faults(MemoryCluster::entryName(isolated)).Silent = true;
+  cluster->configureOrganisations({{"another", {"k1"}, 16}});
   cluster->runFor(absl::Milliseconds(1100));
-  ASSERT_EQ(resultOf(*cluster, cluster->state(away, "k1", "runs")),
+  ASSERT_EQ(resultOf(*cluster, cluster->state(isolated, "k1", "runs")),
             CallResult::UnknownJob);
-  EXPECT_EQ(resultOf(*cluster, cluster->state(away, "k1", "over")),
+  EXPECT_EQ(resultOf(*cluster, cluster->state(isolated, "k1", "over")),
             CallResult::UnknownJob);
 }
 
 // Guards against an entry that answers a caller by an older configuration than
-// one that it has answered by before, whoever decided either.
-TEST(ConfigOrder, NoEntryGoesBackWhateverStrikes) {
-  const auto [first, last] = seedsToPlay();
-  int answered = 0;
+// an earlier answer of it, whichever entry decided the two answers.
+TEST(ConfigMonotonicity, NoEntryUsesAnOlderConfigUnderRandomFaults) {
+  const auto [first, last] = seedsToRun();
+  int answeredCount = 0;
   for (int seed = first; seed <= last; ++seed) {
-    ConfigDay day(static_cast<uint64_t>(seed));
-    EXPECT_EQ(day.play(), "") << "seed " << seed;
-    answered += day.answered();
+    ConfigChangeScenario scenario(static_cast<uint64_t>(seed));
+    EXPECT_EQ(scenario.run(), "") << "seed " << seed;
+    answeredCount += scenario.answeredCount();
   }
-  EXPECT_GT(answered, 0);
+  EXPECT_GT(answeredCount, 0);
 }
 
-/// One day of short jobs whose states callers ask for all the time, everywhere.
-class StatesDay {
+/// Short jobs whose states callers query all the time at all entries.
+class JobStateScenario {
 public:
-  explicit StatesDay(uint64_t seed) : Struck(seed) {}
+  explicit JobStateScenario(uint64_t seed) : Faulty(seed) {}
 
-  /// The first end that callers saw taken back, or nothing.
-  std::string play() {
+  /// Returns the first end of a job that callers saw revoked, or an empty
+  /// string.
+  std::string run() {
     Cluster.configure({"k1"});
     Cluster.runFor(absl::Seconds(4));
-    for (int tick = 0; tick < 1000 && Broken.empty(); ++tick) {
-      if (Struck.any(1, 20) == 1)
-        Cluster.submit(Struck.any(0, Entries - 1), "k1",
-                       job("j" + std::to_string(++Jobs), Struck.any(50, 800)));
-      if (Struck.any(1, 25) == 1)
-        Struck.strike(Struck.any(0, Entries - 1));
+    for (int tick = 0; tick < 1000 && Violation.empty(); ++tick) {
+      if (Faulty.randomInt(1, 20) == 1)
+        Cluster.submit(
+            Faulty.randomInt(0, Entries - 1), "k1",
+            job("j" + std::to_string(++Jobs), Faulty.randomInt(50, 800)));
+      if (Faulty.randomInt(1, 25) == 1)
+        Faulty.injectFault(Faulty.randomInt(0, Entries - 1));
       if (Jobs > 0)
-        ask(Struck.any(0, Entries - 1),
-            Struck.any(std::max(1, Jobs - 3), Jobs));
+        sendCall(Faulty.randomInt(0, Entries - 1),
+                 Faulty.randomInt(std::max(1, Jobs - 3), Jobs));
       Cluster.runFor(absl::Milliseconds(20));
-      judge();
+      checkAnswers();
     }
-    return Broken;
+    return Violation;
   }
 
-  int ends() const { return static_cast<int>(Over.size()); }
+  int endedJobCount() const { return static_cast<int>(EndedJobs.size()); }
 
 private:
-  using AtEntry = std::tuple<int, int, std::string>;
-  struct Asked {
-    AtEntry At;
-    bool WasOver;
-    std::shared_ptr<MemoryCluster::Called> Call;
+  using JobAtEntry = std::tuple<int, int, std::string>;
+  struct PendingCall {
+    JobAtEntry At;
+    bool WasEnded;
+    std::shared_ptr<MemoryCluster::CallerCall> Call;
   };
 
-  void ask(int entry, int number) {
+  void sendCall(int entry, int number) {
     const std::string id = "j" + std::to_string(number);
-    const AtEntry at{entry, Struck.life(entry), id};
-    Open.push_back({at, Over.count(at) > 0, Cluster.state(entry, "k1", id)});
+    const JobAtEntry at{entry, Faulty.incarnation(entry), id};
+    PendingCalls.push_back(
+        {at, EndedJobs.count(at) > 0, Cluster.state(entry, "k1", id)});
   }
 
-  void judge() {
-    const auto first =
-        std::partition(Open.begin(), Open.end(),
-                       [](const Asked &asked) { return !asked.Call->Answer; });
-    for (auto it = first; it != Open.end(); ++it) {
+  void checkAnswers() {
+    const auto first = std::partition(
+        PendingCalls.begin(), PendingCalls.end(),
+        [](const PendingCall &pending) { return !pending.Call->Answer; });
+    for (auto it = first; it != PendingCalls.end(); ++it) {
       const jobs::CallAnswer &answer = *it->Call->Answer;
-      const bool isOver = answer.Result == CallResult::Ok &&
-                          answer.State == jobs::JobState::Completed;
-      if (it->WasOver && decided(answer) && !isOver)
-        Broken = MemoryCluster::entryName(std::get<0>(it->At)) +
-                 " took back the end of " + it->Call->Job + ": " +
-                 jobs::callResultName(answer.Result) + " " +
-                 jobs::jobStateName(answer.State) + " " + answer.Detail;
-      if (isOver)
-        Over.insert(it->At);
+      const bool isEnded = answer.Result == CallResult::Ok &&
+                           answer.State == jobs::JobState::Completed;
+      if (it->WasEnded && isDecided(answer) && !isEnded)
+        Violation = MemoryCluster::entryName(std::get<0>(it->At)) +
+                    " revoked the end of " + it->Call->Job + ": " +
+                    jobs::callResultName(answer.Result) + " " +
+                    jobs::jobStateName(answer.State) + " " + answer.Detail;
+      if (isEnded)
+        EndedJobs.insert(it->At);
     }
-    Open.erase(first, Open.end());
+    PendingCalls.erase(first, PendingCalls.end());
   }
 
-  StruckCluster Struck;
-  MemoryCluster &Cluster = Struck.cluster();
+  FaultyCluster Faulty;
+  MemoryCluster &Cluster = Faulty.cluster();
   int Jobs = 0;
-  /// Ends that callers have seen, by entry, its life and the job.
-  std::set<AtEntry> Over;
-  std::vector<Asked> Open;
-  std::string Broken;
+  /// Ends that callers have seen, by entry, its incarnation and the job.
+  std::set<JobAtEntry> EndedJobs;
+  std::vector<PendingCall> PendingCalls;
+  std::string Violation;
 };
 
-// Guards against an entry that shows a job as over and later as not over.
-TEST(EndOrder, NoEntryTakesAnEndBackWhateverStrikes) {
-  const auto [first, last] = seedsToPlay();
-  int ends = 0;
+// Guards against an entry that shows a job as ended and later as not ended.
+TEST(FinalStateMonotonicity, NoEntryRevokesAnEndUnderRandomFaults) {
+  const auto [first, last] = seedsToRun();
+  int endedJobCount = 0;
   for (int seed = first; seed <= last; ++seed) {
-    StatesDay day(static_cast<uint64_t>(seed));
-    EXPECT_EQ(day.play(), "") << "seed " << seed;
-    ends += day.ends();
+    JobStateScenario scenario(static_cast<uint64_t>(seed));
+    EXPECT_EQ(scenario.run(), "") << "seed " << seed;
+    endedJobCount += scenario.endedJobCount();
   }
-  EXPECT_GT(ends, 0);
+  EXPECT_GT(endedJobCount, 0);
 }
 
 } // namespace
--- a/tests/auto/cluster/tst_cluster.cpp
+++ b/tests/auto/cluster/tst_cluster.cpp
@@ -19,46 +19,50 @@
   return spec;
 }
 
-/// A cluster that serves: configured, a leader elected, all workers known.
-std::unique_ptr<MemoryCluster> serving(MemoryCluster::Options options = {}) {
+/// Returns a cluster that is configured, has elected a leader and knows all its
+/// workers.
+std::unique_ptr<MemoryCluster>
+servingCluster(MemoryCluster::Options options = {}) {
   auto cluster = std::make_unique<MemoryCluster>(options);
   cluster->configure({"k1", "k2"});
   cluster->runFor(absl::Seconds(4));
   return cluster;
 }
 
-::testing::AssertionResult keptAllRules(MemoryCluster &cluster) {
-  const std::vector<std::string> broken = cluster.violations();
-  if (broken.empty())
+::testing::AssertionResult hasNoViolations(MemoryCluster &cluster) {
+  const std::vector<std::string> foundViolations = cluster.violations();
+  if (foundViolations.empty())
     return ::testing::AssertionSuccess();
   return ::testing::AssertionFailure()
-         << broken.size() << " broken, first: " << broken.front();
+         << foundViolations.size()
+         << " violations, first: " << foundViolations.front();
 }
 
 TEST(Cluster, ServesAJobFromEndToEnd) {
-  auto cluster = serving();
+  auto cluster = servingCluster();
   auto call = cluster->submit(1, "k1", job("j1", 4, 2, 1000));
   cluster->runFor(absl::Milliseconds(100));
   ASSERT_TRUE(call->Answer.has_value());
   EXPECT_EQ(call->Answer->Result, jobs::CallResult::Ok);
-  ASSERT_TRUE(cluster->runUntilOver(absl::Seconds(5)));
+  ASSERT_TRUE(cluster->runUntilAllEnded(absl::Seconds(5)));
   auto shown = cluster->state(2, "k1", "j1");
   cluster->runFor(absl::Milliseconds(100));
   EXPECT_EQ(shown->Answer->State, jobs::JobState::Completed);
-  EXPECT_TRUE(keptAllRules(*cluster));
+  EXPECT_TRUE(hasNoViolations(*cluster));
 }
 
-// Callers ask for a job's state the moment its last task has ended, and again a
-// quarter of a second later. Urgent jobs have a second and a half in all: the
-// first answer said "running", as the end was still on its way into the store,
-// and the quarter second after it made jobs late.
-TEST(Cluster, StateAskedRightAfterTheEndIsTheEnd) {
-  for (int asked = 0; asked < 3; ++asked) {
-    auto cluster = serving();
+// Guards against late answers to callers that query a job's state the moment
+// its last task has ended, and again a quarter of a second later. The first
+// answer was "running", as the end was still being written to the store, and
+// the next quarter of a second made urgent jobs late, which have a second and a
+// half in all.
+TEST(Cluster, StateQueriedRightAfterTheEndIsCompleted) {
+  for (int queried = 0; queried < 3; ++queried) {
+    auto cluster = servingCluster();
     cluster->submit(0, "k1", job("j", 1, 1, 1000));
     cluster->runFor(absl::Milliseconds(200));
     const auto running = [&] {
-      const auto &runs = cluster->field().Running;
+      const auto &runs = cluster->sharedState().Running;
       auto it = runs.find("j.0.0.0");
       return it != runs.end() && !it->second.empty();
     };
@@ -66,31 +70,31 @@
     for (int ms = 0; running() && ms < 2000; ++ms)
       cluster->runFor(absl::Milliseconds(1));
     ASSERT_FALSE(running());
-    // The caller hears of the end, and its call comes in.
+    // The caller learns of the end, and its call arrives.
     cluster->runFor(absl::Milliseconds(2));
-    ASSERT_NE(cluster->stored("j"), jobs::JobState::Completed);
-    auto shown = cluster->state(asked, "k1", "j");
+    ASSERT_NE(cluster->storedState("j"), jobs::JobState::Completed);
+    auto shown = cluster->state(queried, "k1", "j");
     cluster->runFor(absl::Milliseconds(50));
     ASSERT_TRUE(shown->Answer.has_value());
     EXPECT_EQ(shown->Answer->State, jobs::JobState::Completed)
-        << "asked at entry " << asked;
+        << "asked at entry " << queried;
   }
 }
 
-// As above, but the call is faster than the news of the end.
-TEST(Cluster, StateAskedJustBeforeTheNewsOfTheEndIsTheEnd) {
-  auto cluster = serving();
+// The same where the call arrives before the report of the end.
+TEST(Cluster, StateQueriedBeforeTheEndIsReportedIsCompleted) {
+  auto cluster = servingCluster();
   cluster->submit(0, "k1", job("j", 1, 1, 1000));
   cluster->runFor(absl::Milliseconds(200));
   const auto running = [&] {
-    const auto &runs = cluster->field().Running;
+    const auto &runs = cluster->sharedState().Running;
     auto it = runs.find("j.0.0.0");
     return it != runs.end() && !it->second.empty();
   };
   for (int ms = 0; running() && ms < 2000; ++ms)
     cluster->runFor(absl::Milliseconds(1));
   ASSERT_FALSE(running());
-  std::vector<std::shared_ptr<MemoryCluster::Called>> calls;
+  std::vector<std::shared_ptr<MemoryCluster::CallerCall>> calls;
   for (int entry = 0; entry < 3; ++entry)
     calls.push_back(cluster->state(entry, "k1", "j"));
   cluster->runFor(absl::Milliseconds(60));
@@ -100,16 +104,16 @@
   }
 }
 
-// The store drops its history; before that its watches bring nothing for a
-// while. Jobs that were over were shown as running for six seconds, also by the
-// leader, which had recorded their ends itself.
-TEST(Cluster, EndsAreShownWhileWatchesAreSilent) {
-  auto cluster = serving();
+// Guards against ended jobs that are shown as running for six seconds, even by
+// the leader that had recorded their ends: the store's watches report nothing
+// for a while, and then the store drops its history.
+TEST(Cluster, ShowsEndsWhileWatchesAreSilent) {
+  auto cluster = servingCluster();
   for (int n = 0; n < 3; ++n)
     cluster->store().faults(MemoryCluster::entryName(n)).WatchesSilent = true;
   cluster->submit(cluster->leader(), "k1", job("j", 1, 1, 500));
   cluster->runFor(absl::Milliseconds(700));
-  ASSERT_EQ(cluster->stored("j"), jobs::JobState::Completed);
+  ASSERT_EQ(cluster->storedState("j"), jobs::JobState::Completed);
   for (int n = 0; n < 3; ++n) {
     auto shown = cluster->state(n, "k1", "j");
     cluster->runFor(absl::Milliseconds(50));
@@ -118,44 +122,46 @@
   }
 }
 
-// Guards against an entry that has shown a job's end as the leader told it and
-// then shows the job as running, by its own view, when the leader is cut off.
-TEST(Cluster, EndThatTheLeaderToldIsNotTakenBack) {
-  auto cluster = serving();
+// Guards against an entry that has shown a job's end as the leader reported it
+// and then, when the leader cannot be reached, shows the job as running
+// according to its own view.
+TEST(Cluster, EndReportedByTheLeaderIsNotRevoked) {
+  auto cluster = servingCluster();
   const int leader = cluster->leader();
-  const int asked = (leader + 1) % 3;
-  cluster->submit(asked, "k1", job("j", 1, 1, 500));
+  const int queried = (leader + 1) % 3;
+  cluster->submit(queried, "k1", job("j", 1, 1, 500));
   cluster->runFor(absl::Milliseconds(300));
-  cluster->store().faults(MemoryCluster::entryName(asked)).WatchesSilent = true;
+  cluster->store().faults(MemoryCluster::entryName(queried)).WatchesSilent =
+      true;
   cluster->runFor(absl::Milliseconds(400));
-  ASSERT_EQ(cluster->stored("j"), jobs::JobState::Completed);
-  auto told = cluster->state(asked, "k1", "j");
+  ASSERT_EQ(cluster->storedState("j"), jobs::JobState::Completed);
+  auto reported = cluster->state(queried, "k1", "j");
   cluster->runFor(absl::Milliseconds(50));
-  ASSERT_TRUE(told->Answer.has_value());
-  ASSERT_EQ(told->Answer->State, jobs::JobState::Completed);
-  cluster->cutPair(MemoryCluster::entryName(asked),
-                   MemoryCluster::entryName(leader));
-  auto again = cluster->state(asked, "k1", "j");
+  ASSERT_TRUE(reported->Answer.has_value());
+  ASSERT_EQ(reported->Answer->State, jobs::JobState::Completed);
+  cluster->partitionPair(MemoryCluster::entryName(queried),
+                         MemoryCluster::entryName(leader));
+  auto again = cluster->state(queried, "k1", "j");
   cluster->runFor(absl::Milliseconds(400));
   ASSERT_TRUE(again->Answer.has_value());
   EXPECT_EQ(again->Answer->State, jobs::JobState::Completed);
 }
 
-// Guards against an entry that shows a job as queued, long over, since the
-// store refused to tell how far it is.
+// Guards against an entry that shows a job as queued long after its end because
+// the store refuses to return the job's progress.
 TEST(Cluster, JobWhoseProgressCannotBeReadIsNotShownAsQueued) {
-  auto cluster = serving();
+  auto cluster = servingCluster();
   const int leader = cluster->leader();
-  const int asked = (leader + 1) % 3;
+  const int queried = (leader + 1) % 3;
   MemoryStore::Faults &store =
-      cluster->store().faults(MemoryCluster::entryName(asked));
+      cluster->store().faults(MemoryCluster::entryName(queried));
   store.WatchesSilent = true;
   cluster->submit(leader, "k1", job("j", 1, 1, 200));
   cluster->runFor(absl::Milliseconds(700));
-  ASSERT_EQ(cluster->stored("j"), jobs::JobState::Completed);
-  cluster->cutPair(MemoryCluster::entryName(asked),
-                   MemoryCluster::entryName(leader));
-  auto shown = cluster->state(asked, "k1", "j");
+  ASSERT_EQ(cluster->storedState("j"), jobs::JobState::Completed);
+  cluster->partitionPair(MemoryCluster::entryName(queried),
+                         MemoryCluster::entryName(leader));
+  auto shown = cluster->state(queried, "k1", "j");
   cluster->runFor(absl::Milliseconds(1));
   store.Refuses = true;
   cluster->runFor(absl::Seconds(2));
@@ -164,16 +170,18 @@
   EXPECT_EQ(shown->Answer->State, jobs::JobState::Completed);
 }
 
-// Many entries, hundreds of records written a second. The store was called two
-// thousand times a second, as each write woke each entry. What an entry that
-// only serves callers asks of the store must not grow with the jobs.
-TEST(Cluster, CallsOfEntriesThatDoNotLeadDoNotGrowWithTheJobs) {
+// Guards against a load on the store that grows with the number of entries:
+// with many entries and hundreds of written records a second the store was
+// called two thousand times a second, as each write woke each entry. The store
+// calls of an entry that only serves callers must not grow with the jobs.
+TEST(Cluster, StoreCallsOfNonLeadersDoNotGrowWithJobs) {
   constexpr int Seconds = 4;
-  // Two resting views, one confirmed configuration, one lease and idle watches.
-  constexpr int MostCallsAnEntrySecond = 12;
+  // Two views that pause between watches, one confirmed configuration, one
+  // lease and idle watches.
+  constexpr int MaxCallsPerEntrySecond = 12;
   std::map<int, int> callsAtSize;
   for (int entries : {2, 12}) {
-    auto cluster = serving({entries, 6, 3, 1});
+    auto cluster = servingCluster({entries, 6, 3, 1});
     const int leader = cluster->leader();
     const int before = cluster->store().calls();
     for (int n = 0; n < 20 * Seconds; ++n) {
@@ -184,87 +192,93 @@
   }
   const int others = 12 - 2;
   EXPECT_LE(callsAtSize[12] - callsAtSize[2],
-            others * Seconds * MostCallsAnEntrySecond);
+            others * Seconds * MaxCallsPerEntrySecond);
 }
 
-struct AwayCase {
+struct StoreUnreachableCase {
   const char *Name;
-  std::function<void(MemoryStore::Faults &)> Strike;
-  /// From when on after the strike calls come, and how long one may take.
+  std::function<void(MemoryStore::Faults &)> Inject;
+  /// Time from the fault to the first calls, and the maximum time of one call.
   int AfterMs;
   int WithinMs;
 };
 
-std::ostream &operator<<(std::ostream &out, const AwayCase &c) {
+std::ostream &operator<<(std::ostream &out, const StoreUnreachableCase &c) {
   return out << c.Name;
 }
 
-class StoreAwayForOne : public ::testing::TestWithParam<AwayCase> {};
+class StoreUnreachableForOneEntry
+    : public ::testing::TestWithParam<StoreUnreachableCase> {};
 
-// The store turns one entry away, or a cut parts it from the store, while the
-// others are served. Its callers were told to come back in a second, two or
-// three times over, and saw their jobs running for seconds after the end.
-TEST_P(StoreAwayForOne, CallsAreServedByAnotherEntry) {
+// Guards against callers that are asked to retry after a second, two or three
+// times over, and see their jobs running for seconds after the end: the store
+// refuses one entry, or a network partition separates the two, while the other
+// entries are served.
+TEST_P(StoreUnreachableForOneEntry, CallsAreServedByAnotherEntry) {
   for (int seed = 1; seed <= 3; ++seed) {
-    auto cluster = serving({3, 6, 3, static_cast<uint64_t>(seed)});
-    const int away = (cluster->leader() + 1) % 3;
-    GetParam().Strike(cluster->store().faults(MemoryCluster::entryName(away)));
+    auto cluster = servingCluster({3, 6, 3, static_cast<uint64_t>(seed)});
+    const int isolated = (cluster->leader() + 1) % 3;
+    GetParam().Inject(
+        cluster->store().faults(MemoryCluster::entryName(isolated)));
     cluster->runFor(absl::Milliseconds(GetParam().AfterMs));
-    auto call = cluster->submit(away, "k1", job("j", 1, 1, 500));
+    auto call = cluster->submit(isolated, "k1", job("j", 1, 1, 500));
     cluster->runFor(absl::Milliseconds(GetParam().WithinMs));
     ASSERT_TRUE(call->Answer.has_value());
     EXPECT_EQ(call->Answer->Result, jobs::CallResult::Ok)
         << call->Answer->Detail;
-    ASSERT_TRUE(cluster->runUntilOver(absl::Seconds(3)));
-    auto shown = cluster->state(away, "k1", "j");
-    auto unknown = cluster->state(away, "no such key", "j");
+    ASSERT_TRUE(cluster->runUntilAllEnded(absl::Seconds(3)));
+    auto shown = cluster->state(isolated, "k1", "j");
+    auto unknown = cluster->state(isolated, "no such key", "j");
     cluster->runFor(absl::Milliseconds(100));
     ASSERT_TRUE(shown->Answer.has_value());
     EXPECT_EQ(shown->Answer->State, jobs::JobState::Completed);
     ASSERT_TRUE(unknown->Answer.has_value());
     EXPECT_EQ(unknown->Answer->Result, jobs::CallResult::BadKey);
     EXPECT_EQ(cluster->starts(), 1);
-    EXPECT_TRUE(keptAllRules(*cluster));
+    EXPECT_TRUE(hasNoViolations(*cluster));
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, StoreAwayForOne,
+    Table, StoreUnreachableForOneEntry,
     ::testing::Values(
-        AwayCase{"refuses", [](auto &f) { f.Refuses = true; }, 5, 50},
-        AwayCase{"refuses_for_long", [](auto &f) { f.Refuses = true; }, 4000,
-                 50},
-        AwayCase{"silent", [](auto &f) { f.Silent = true; }, 5, 400},
-        AwayCase{"silent_for_long", [](auto &f) { f.Silent = true; }, 4000,
-                 50}),
+        StoreUnreachableCase{"refuses", [](auto &f) { f.Refuses = true; }, 5,
+                             50},
+        StoreUnreachableCase{"refuses_for_long",
+                             [](auto &f) { f.Refuses = true; }, 4000, 50},
+        StoreUnreachableCase{"silent", [](auto &f) { f.Silent = true; }, 5,
+                             400},
+        StoreUnreachableCase{"silent_for_long",
+                             [](auto &f) { f.Silent = true; }, 4000, 50}),
     [](const auto &info) { return info.param.Name; });
 
-// An entry loses the store, and the configuration changes: one key goes, one
-// comes. A caller with the new key was served, as its call was handed over; the
-// next one, with the key that was gone, was served by the entry's old
-// configuration. Callers saw the change come and go again at one address.
-TEST(Cluster, EntryThatHeardOfANewerConfigurationServesNothingByItsOwn) {
-  auto cluster = serving();
-  const int away = (cluster->leader() + 1) % 3;
-  cluster->submit(away, "k1", job("j", 1, 1, 200));
-  ASSERT_TRUE(cluster->runUntilOver(absl::Seconds(3)));
+// Guards against a configuration change that callers see reverted at one
+// address. An entry loses the store, and the configuration changes: one key is
+// removed, one is added. A call with the new key was forwarded and served, but
+// the next call, with the removed key, was served by the entry's old
+// configuration.
+TEST(Cluster, EntryThatSawANewerConfigIgnoresItsOwn) {
+  auto cluster = servingCluster();
+  const int isolated = (cluster->leader() + 1) % 3;
+  cluster->submit(isolated, "k1", job("j", 1, 1, 200));
+  ASSERT_TRUE(cluster->runUntilAllEnded(absl::Seconds(3)));
   cluster->runFor(absl::Seconds(1));
-  cluster->store().faults(MemoryCluster::entryName(away)).Silent = true;
+  cluster->store().faults(MemoryCluster::entryName(isolated)).Silent = true;
   cluster->configure({"k2", "k3"});
   cluster->runFor(absl::Milliseconds(1100));
-  auto newKey = cluster->state(away, "k3", "j");
+  auto newKey = cluster->state(isolated, "k3", "j");
   cluster->runFor(absl::Milliseconds(100));
   ASSERT_TRUE(newKey->Answer.has_value());
   ASSERT_EQ(newKey->Answer->Result, jobs::CallResult::UnknownJob);
-  auto oldKey = cluster->state(away, "k1", "j");
+  auto oldKey = cluster->state(isolated, "k1", "j");
   cluster->runFor(absl::Milliseconds(100));
   ASSERT_TRUE(oldKey->Answer.has_value());
   EXPECT_EQ(oldKey->Answer->Result, jobs::CallResult::BadKey);
-  // Once the store has confirmed its view, the entry serves by itself again.
-  cluster->store().faults(MemoryCluster::entryName(away)).Silent = false;
+  // Once the store has confirmed its view, the entry answers by itself again.
+  cluster->store().faults(MemoryCluster::entryName(isolated)).Silent = false;
   cluster->runFor(absl::Seconds(4));
-  auto later = cluster->state(away, "k1", "j");
-  auto known = cluster->submit(away, "k2", job("j2", 1, 1, 200));
+  auto later = cluster->state(isolated, "k1", "j");
+  auto known = cluster->submit(isolated, "k2", job("j2", 1, 1, 200));
   cluster->runFor(absl::Milliseconds(100));
   ASSERT_TRUE(known->Answer.has_value());
   EXPECT_EQ(known->Answer->Result, jobs::CallResult::Ok);
@@ -273,21 +287,22 @@
   EXPECT_EQ(later->Answer->Result, jobs::CallResult::BadKey);
 }
 
-// What another entry decided was logged as decided by the configuration here,
-// confirmed only later: nobody could tell who had served a call and by what.
-TEST(Cluster, LogOfACallServedElsewhereNamesEntryAndConfiguration) {
-  auto cluster = serving();
-  const int away = (cluster->leader() + 1) % 3;
+// Guards against a log that does not show which entry served a call and by
+// which configuration: a decision of another entry was logged with this entry's
+// configuration, which the store confirmed only later.
+TEST(Cluster, LogOfForwardedCallNamesEntryAndConfig) {
+  auto cluster = servingCluster();
+  const int isolated = (cluster->leader() + 1) % 3;
   const std::string leader = MemoryCluster::entryName(cluster->leader());
-  cluster->submit(away, "k1", job("j", 1, 1, 200));
-  ASSERT_TRUE(cluster->runUntilOver(absl::Seconds(3)));
+  cluster->submit(isolated, "k1", job("j", 1, 1, 200));
+  ASSERT_TRUE(cluster->runUntilAllEnded(absl::Seconds(3)));
   cluster->runFor(absl::Seconds(1));
-  cluster->store().faults(MemoryCluster::entryName(away)).Silent = true;
+  cluster->store().faults(MemoryCluster::entryName(isolated)).Silent = true;
   cluster->configure({"k1", "k3"});
   cluster->runFor(absl::Milliseconds(1100));
-  cluster->state(away, "k3", "j");
+  cluster->state(isolated, "k3", "j");
   cluster->runFor(absl::Milliseconds(100));
-  const jobs::CallDecision &line = cluster->decisions().back();
+  const jobs::CallDecision &line = cluster->callDecisions().back();
   EXPECT_EQ(line.ConfigVersion, 1);
   EXPECT_GE(line.ConfigAgeMs, 1100);
   EXPECT_EQ(line.Answer.ServedBy, leader);
@@ -296,29 +311,29 @@
 }
 
 // Guards against a caller with a new key that waits for a silent store as long
-// as a store call may take, though another entry could serve it.
-TEST(Cluster, NewKeyAtAnEntryWhoseStoreFellSilentIsServedElsewhereSoon) {
-  constexpr int FirstTryAndHandOverMs = 400;
-  auto cluster = serving();
-  const int away = (cluster->leader() + 1) % 3;
-  cluster->store().faults(MemoryCluster::entryName(away)).Silent = true;
+// as a store call may take, although another entry could serve it.
+TEST(Cluster, ForwardsNewKeySoonWhenTheStoreIsSilent) {
+  constexpr int FirstTryAndForwardMs = 400;
+  auto cluster = servingCluster();
+  const int isolated = (cluster->leader() + 1) % 3;
+  cluster->store().faults(MemoryCluster::entryName(isolated)).Silent = true;
   cluster->configure({"k1", "k3"});
   cluster->runFor(absl::Milliseconds(50));
-  auto call = cluster->count(away, "k3", "q1");
-  cluster->runFor(absl::Milliseconds(FirstTryAndHandOverMs));
+  auto call = cluster->countQueued(isolated, "k3", "q1");
+  cluster->runFor(absl::Milliseconds(FirstTryAndForwardMs));
   ASSERT_TRUE(call->Answer.has_value());
   EXPECT_EQ(call->Answer->Result, jobs::CallResult::Ok);
 }
 
 // Guards against a leader that cannot keep up: all leases lapse in an outage,
-// and one of many small entries is the first to ask for the lead.
-TEST(Cluster, LargeEntriesLeadOnceAllLeasesHaveLapsed) {
+// and one of many small entries is the first to ask for leadership.
+TEST(Cluster, LargeEntryIsElectedAfterAllLeasesLapsed) {
   constexpr int Large = 2;
   constexpr int Entries = 8;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     MemoryCluster::Options options{Entries, 3, 3, seed};
-    options.FirstWeakEntry = Large;
-    auto cluster = serving(options);
+    options.FirstSmallEntry = Large;
+    auto cluster = servingCluster(options);
     // Their renewals come at different times.
     for (int n = Large; n < Entries; ++n) {
       cluster->killEntry(n);
@@ -337,24 +352,26 @@
   }
 }
 
-// Guards against small entries that leave the lead to large ones that are gone.
-TEST(Cluster, SmallEntriesLeadWhereNoLargeOneIsLeft) {
+// Guards against small entries that leave leadership to large ones that no
+// longer run.
+TEST(Cluster, SmallEntryIsElectedWithoutLargeOnes) {
   MemoryCluster::Options options;
-  options.FirstWeakEntry = 1;
-  auto cluster = serving(options);
+  options.FirstSmallEntry = 1;
+  auto cluster = servingCluster(options);
   cluster->killEntry(0);
   cluster->runFor(absl::Seconds(5));
   EXPECT_GT(cluster->leader(), 0);
 }
 
-// The store is away for all: the entries must not hand a call round until its
-// caller's time is over, and "not done" must be true.
+// The store is unavailable to all entries. Guards against a call that entries
+// forward to each other until its caller's time is over; the answer "not done"
+// must be true.
 TEST(Cluster, CallThatNoEntryCanServeIsRefusedSoon) {
-  auto cluster = serving();
+  auto cluster = servingCluster();
   for (int n = 0; n < 3; ++n)
     cluster->store().faults(MemoryCluster::entryName(n)).Refuses = true;
   cluster->runFor(absl::Seconds(1));
-  std::vector<std::shared_ptr<MemoryCluster::Called>> calls;
+  std::vector<std::shared_ptr<MemoryCluster::CallerCall>> calls;
   for (int n = 0; n < 3; ++n)
     calls.push_back(
         cluster->submit(n, "k1", job("j" + std::to_string(n), 1, 1, 500)));
@@ -363,37 +380,37 @@
     ASSERT_TRUE(call->Answer.has_value());
     EXPECT_EQ(call->Answer->Result, jobs::CallResult::NotDone);
     EXPECT_GT(call->Answer->RetryAfterMs, 0);
-    EXPECT_FALSE(cluster->stored(call->Job).has_value());
+    EXPECT_FALSE(cluster->storedState(call->Job).has_value());
   }
 }
 
-// An entry that reaches neither the store nor another entry: the first caller
-// pays for finding that out, those after it are refused at once.
-TEST(Cluster, EntryOnItsOwnRefusesAtOnce) {
-  auto cluster = serving();
-  const int away = (cluster->leader() + 1) % 3;
-  cluster->store().faults(MemoryCluster::entryName(away)).Refuses = true;
-  cluster->cut(MemoryCluster::entryName(away), true);
+// For an entry that reaches neither the store nor another entry: only the first
+// caller may wait until that is detected, later ones are refused at once.
+TEST(Cluster, IsolatedEntryRefusesAtOnce) {
+  auto cluster = servingCluster();
+  const int isolated = (cluster->leader() + 1) % 3;
+  cluster->store().faults(MemoryCluster::entryName(isolated)).Refuses = true;
+  cluster->setPartitioned(MemoryCluster::entryName(isolated), true);
   cluster->runFor(absl::Milliseconds(400));
-  auto first = cluster->submit(away, "k1", job("j1", 1, 1, 500));
+  auto first = cluster->submit(isolated, "k1", job("j1", 1, 1, 500));
   cluster->runFor(absl::Milliseconds(850));
   ASSERT_TRUE(first->Answer.has_value());
-  auto second = cluster->submit(away, "k1", job("j2", 1, 1, 500));
+  auto second = cluster->submit(isolated, "k1", job("j2", 1, 1, 500));
   cluster->runFor(absl::Milliseconds(20));
   ASSERT_TRUE(second->Answer.has_value());
   EXPECT_EQ(second->Answer->Result, jobs::CallResult::NotDone);
-  cluster->cut(MemoryCluster::entryName(away), false);
+  cluster->setPartitioned(MemoryCluster::entryName(isolated), false);
   cluster->runFor(absl::Seconds(1));
-  auto third = cluster->submit(away, "k1", job("j3", 1, 1, 500));
+  auto third = cluster->submit(isolated, "k1", job("j3", 1, 1, 500));
   cluster->runFor(absl::Milliseconds(50));
   ASSERT_TRUE(third->Answer.has_value());
   EXPECT_EQ(third->Answer->Result, jobs::CallResult::Ok);
 }
 
-// The end of a job is known but cannot be recorded, as the store is down: the
-// caller gets what is recorded, and without waiting for long.
-TEST(Cluster, StateOfAnEndThatCannotBeRecordedIsStillAnswered) {
-  auto cluster = serving();
+// The end of a job is known but cannot be recorded because the store is down:
+// the caller gets the recorded state, without a long wait.
+TEST(Cluster, StateIsAnsweredWhenTheEndCannotBeRecorded) {
+  auto cluster = servingCluster();
   cluster->submit(0, "k1", job("j", 1, 1, 1000));
   cluster->runFor(absl::Milliseconds(800));
   for (int n = 0; n < 3; ++n)
@@ -405,24 +422,24 @@
   EXPECT_EQ(shown->Answer->State, jobs::JobState::Running);
 }
 
-// A queue's policy lets only some workers run its jobs, and the service that
-// knows them is not asked yet: workers refuse every start. Users saw such a job
-// accepted and then start nowhere, for ever.
+// Guards against a job that is accepted and then never starts: its queue's
+// policy lets only some workers run its jobs, and the service that knows these
+// workers is not queried yet, so that workers refuse every start.
 TEST(Cluster, JobThatCannotBeServedIsRefusedAtOnce) {
-  auto cluster = serving();
+  auto cluster = servingCluster();
   auto call = cluster->submit(0, "k1", job("j1", 1, 1, 1000, "advised"));
   cluster->runFor(absl::Milliseconds(100));
   ASSERT_TRUE(call->Answer.has_value());
   EXPECT_EQ(call->Answer->Result, jobs::CallResult::Invalid);
   EXPECT_NE(call->Answer->Detail.find("advice"), std::string::npos);
-  EXPECT_FALSE(cluster->stored("j1").has_value());
+  EXPECT_FALSE(cluster->storedState("j1").has_value());
   EXPECT_EQ(cluster->starts(), 0);
 }
 
-// The store is the scarcest thing on a site: a few hundred writes a second for
-// all. docs/CAPACITY.md rests on these figures.
-TEST(Cluster, JobCostsThreeWritesAndIdlingNone) {
-  auto cluster = serving();
+// The store is the scarcest resource of a site: it takes a few hundred writes a
+// second for all. docs/CAPACITY.md is based on these figures.
+TEST(Cluster, JobTakesThreeStoreWritesAndIdlingNone) {
+  auto cluster = servingCluster();
   const int idleWrites = cluster->store().writes();
   const int idleCalls = cluster->store().calls();
   cluster->runFor(absl::Seconds(30));
@@ -436,23 +453,24 @@
     core::JobSpec gang = job("g" + std::to_string(n), 6, 4, 1000);
     gang.Steps[0].Gang = true;
     cluster->submit(n % 3, "k1", gang);
-    ASSERT_TRUE(cluster->runUntilOver(absl::Seconds(10)));
-    // Ends of the other members come with or after the first.
+    ASSERT_TRUE(cluster->runUntilAllEnded(absl::Seconds(10)));
+    // The ends of the other members come with or after the first one.
     cluster->runFor(absl::Seconds(1));
   }
-  // Accepted; started; ended, for which the members' reports may need one more.
+  // One write each when a job is accepted, started and ended. The members'
+  // reports of the end may need one more.
   EXPECT_LE(cluster->store().writes() - writes, Jobs * 4);
   EXPECT_GE(cluster->store().writes() - writes, Jobs * 3);
 }
 
-// A fault that strikes while a long job runs and another one comes.
+// A fault that happens while a long job runs and another one is submitted.
 struct FaultCase {
   const char *Name;
-  std::function<void(MemoryCluster &)> Strike;
+  std::function<void(MemoryCluster &)> Inject;
   std::function<void(MemoryCluster &)> Heal;
-  absl::Duration Lasts;
-  /// Starts beyond the tasks' number that the fault may cost.
-  int MoreStarts;
+  absl::Duration FaultDuration;
+  /// Maximum number of starts beyond one per task that the fault may cause.
+  int MaxExtraStarts;
 };
 
 std::ostream &operator<<(std::ostream &out, const FaultCase &c) {
@@ -461,30 +479,30 @@
 
 class Faults : public ::testing::TestWithParam<FaultCase> {};
 
-// Work is running and more comes in when something breaks. Callers must find
-// every accepted job completed in the end, no task may run twice, and what ran
-// soundly must not be started again.
-TEST_P(Faults, AcceptedWorkEndsOnceAndWhole) {
-  auto cluster = serving();
+// A fault happens while a job runs and more are submitted. Every accepted job
+// must complete in the end, no task may run twice, and healthy runs must not be
+// restarted.
+TEST_P(Faults, AcceptedJobsCompleteExactlyOnce) {
+  auto cluster = servingCluster();
   cluster->submit(0, "k1", job("long", 6, 4, 6000));
   cluster->runFor(absl::Seconds(2));
-  ASSERT_EQ(cluster->accepted().size(), 1u);
-  GetParam().Strike(*cluster);
+  ASSERT_EQ(cluster->acceptedJobs().size(), 1u);
+  GetParam().Inject(*cluster);
   cluster->runFor(absl::Milliseconds(200));
-  std::vector<std::shared_ptr<MemoryCluster::Called>> calls;
+  std::vector<std::shared_ptr<MemoryCluster::CallerCall>> calls;
   for (int n = 0; n < 3; ++n)
     calls.push_back(
         cluster->submit(n, "k2", job("more" + std::to_string(n), 2, 1, 1500)));
-  cluster->runFor(GetParam().Lasts);
+  cluster->runFor(GetParam().FaultDuration);
   GetParam().Heal(*cluster);
-  ASSERT_TRUE(cluster->runUntilOver(absl::Seconds(40)));
-  EXPECT_EQ(cluster->stored("long"), jobs::JobState::Completed);
-  EXPECT_TRUE(keptAllRules(*cluster));
-  EXPECT_LE(cluster->starts(), 6 + 3 * 2 + GetParam().MoreStarts);
+  ASSERT_TRUE(cluster->runUntilAllEnded(absl::Seconds(40)));
+  EXPECT_EQ(cluster->storedState("long"), jobs::JobState::Completed);
+  EXPECT_TRUE(hasNoViolations(*cluster));
+  EXPECT_LE(cluster->starts(), 6 + 3 * 2 + GetParam().MaxExtraStarts);
   for (const auto &call : calls)
     if (call->Answer && call->Answer->Result == jobs::CallResult::NotDone) {
-      EXPECT_FALSE(cluster->stored(call->Job).has_value())
-          << call->Job << " was refused and stored";
+      EXPECT_FALSE(cluster->storedState(call->Job).has_value())
+          << call->Job << " was refused but is in the store";
       EXPECT_GT(call->Answer->RetryAfterMs, 0);
     }
 }
@@ -501,7 +519,7 @@
     {"leader_killed", [](MemoryCluster &c) { c.killEntry(c.leader()); },
      [](MemoryCluster &c) {
        for (int n = 0; n < 3; ++n)
-         if (!c.entryUp(n))
+         if (!c.isEntryUp(n))
            c.startEntry(n);
      },
      absl::Seconds(3), 0},
@@ -537,18 +555,19 @@
      absl::Seconds(8), 0},
     {"store_loses_answers",
      [](MemoryCluster &c) {
-       forAllClients(c, [](MemoryStore::Faults &f) { f.LosesAnswers = 0.5; });
+       forAllClients(c,
+                     [](MemoryStore::Faults &f) { f.LostAnswerShare = 0.5; });
      },
      [](MemoryCluster &c) {
-       forAllClients(c, [](MemoryStore::Faults &f) { f.LosesAnswers = 0; });
+       forAllClients(c, [](MemoryStore::Faults &f) { f.LostAnswerShare = 0; });
      },
      absl::Seconds(5), 0},
     {"store_writes_late",
      [](MemoryCluster &c) {
-       forAllClients(c, [](MemoryStore::Faults &f) { f.Late = 0.5; });
+       forAllClients(c, [](MemoryStore::Faults &f) { f.LateWriteShare = 0.5; });
      },
      [](MemoryCluster &c) {
-       forAllClients(c, [](MemoryStore::Faults &f) { f.Late = 0; });
+       forAllClients(c, [](MemoryStore::Faults &f) { f.LateWriteShare = 0; });
      },
      absl::Seconds(5), 0},
     {"watches_silent_then_history_gone",
@@ -564,12 +583,12 @@
     {"leader_cut_off",
      [](MemoryCluster &c) {
        const std::string name = MemoryCluster::entryName(c.leader());
-       c.cut(name, true);
+       c.setPartitioned(name, true);
        c.store().faults(name).Silent = true;
      },
      [](MemoryCluster &c) {
        for (int n = 0; n < 3; ++n) {
-         c.cut(MemoryCluster::entryName(n), false);
+         c.setPartitioned(MemoryCluster::entryName(n), false);
          c.store().faults(MemoryCluster::entryName(n)).Silent = false;
        }
      },
@@ -577,33 +596,41 @@
     {"agent_killed", [](MemoryCluster &c) { c.killAgent(0); },
      [](MemoryCluster &c) { c.startAgent(0); }, absl::Seconds(2), 0},
     {"agent_cut_off_shortly",
-     [](MemoryCluster &c) { c.cut(MemoryCluster::agentName(0), true); },
-     [](MemoryCluster &c) { c.cut(MemoryCluster::agentName(0), false); },
+     [](MemoryCluster &c) {
+       c.setPartitioned(MemoryCluster::agentName(0), true);
+     },
+     [](MemoryCluster &c) {
+       c.setPartitioned(MemoryCluster::agentName(0), false);
+     },
      absl::Seconds(3), 0},
     {"agent_cut_off_for_long",
-     [](MemoryCluster &c) { c.cut(MemoryCluster::agentName(0), true); },
-     [](MemoryCluster &c) { c.cut(MemoryCluster::agentName(0), false); },
+     [](MemoryCluster &c) {
+       c.setPartitioned(MemoryCluster::agentName(0), true);
+     },
+     [](MemoryCluster &c) {
+       c.setPartitioned(MemoryCluster::agentName(0), false);
+     },
      absl::Seconds(12), 2},
     {"worker_crashes", [](MemoryCluster &c) { c.worker(0).crash(); },
      [](MemoryCluster &) {}, absl::Seconds(1), 2},
     {"orders_late_on_all_workers",
      [](MemoryCluster &c) {
        for (int n = 0; n < 6; ++n)
-         c.worker(n).LateOrders = 0.3;
+         c.worker(n).LateOrderShare = 0.3;
      },
      [](MemoryCluster &c) {
        for (int n = 0; n < 6; ++n)
-         c.worker(n).LateOrders = 0;
+         c.worker(n).LateOrderShare = 0;
      },
      absl::Seconds(4), 4},
     {"answers_of_workers_lost",
      [](MemoryCluster &c) {
        for (int n = 0; n < 6; ++n)
-         c.worker(n).LostAnswers = 0.5;
+         c.worker(n).LostOrderAnswerShare = 0.5;
      },
      [](MemoryCluster &c) {
        for (int n = 0; n < 6; ++n)
-         c.worker(n).LostAnswers = 0;
+         c.worker(n).LostOrderAnswerShare = 0;
      },
      absl::Seconds(4), 0},
 };
@@ -611,31 +638,32 @@
 INSTANTIATE_TEST_SUITE_P(Table, Faults, ::testing::ValuesIn(FaultCases),
                          [](const auto &info) { return info.param.Name; });
 
-// A worker dies without a word and stands up again at once. Users saw a task
-// there never end: the agent still had a look at the old life open, and did not
-// look at the new one again. It takes a heartbeat within the look's time, so
-// the crash is played at every tenth of a second of a heartbeat period.
-TEST(Cluster, WorkerThatCrashesAtAnyMomentIsLookedAtAgain) {
+// Guards against a task that never ends: its worker crashes without a report
+// and starts again at once, while the agent still has a poll of the old
+// incarnation open, and the agent did not poll the new one again. That takes a
+// heartbeat within the poll's time, so the test crashes the worker at every
+// tenth of a second of a heartbeat period.
+TEST(Cluster, PollsAWorkerAgainAfterACrashAtAnyMoment) {
   for (int tenth = 0; tenth < 15; ++tenth) {
-    auto cluster = serving();
+    auto cluster = servingCluster();
     cluster->runFor(absl::Milliseconds(100 * tenth));
     cluster->submit(0, "k1", job("j", 48, 1, 1000));
     cluster->runFor(absl::Milliseconds(500));
     cluster->worker(0).crash();
-    EXPECT_TRUE(cluster->runUntilOver(absl::Seconds(8))) << tenth;
-    EXPECT_TRUE(keptAllRules(*cluster));
+    EXPECT_TRUE(cluster->runUntilAllEnded(absl::Seconds(8))) << tenth;
+    EXPECT_TRUE(hasNoViolations(*cluster));
   }
 }
 
-// A machine is taken away for good and the leader is killed right after. Users
-// waited 18 s for the task that ran there, and again as long when the next
-// leader was killed too: each had to allow for an earlier one that went on
-// granting somewhere, though all of them had been started anew.
-TEST(Cluster, TasksOfARemovedMachineDoNotWaitForLeadersThatAreGone) {
-  auto cluster = serving();
+// Guards against a task that waits 18 s for a restart after its host is removed
+// for good and the leader is killed right after, and 18 s more when the next
+// leader is killed too. Each leader had to assume that an earlier one still
+// extended task leases somewhere, although all of them had been restarted.
+TEST(Cluster, TasksOfARemovedHostDoNotWaitForStoppedLeaders) {
+  auto cluster = servingCluster();
   cluster->submit(0, "k1", job("j", 12, 4, 3000));
   cluster->runFor(absl::Milliseconds(500));
-  cluster->removeMachine(0);
+  cluster->removeHost(0);
   for (int round = 0; round < 2; ++round) {
     const int leader = cluster->leader();
     ASSERT_GE(leader, 0);
@@ -644,68 +672,69 @@
     cluster->startEntry(leader);
     cluster->runFor(absl::Seconds(3));
   }
-  EXPECT_TRUE(cluster->runUntilOver(absl::Seconds(8)));
-  EXPECT_TRUE(keptAllRules(*cluster));
+  EXPECT_TRUE(cluster->runUntilAllEnded(absl::Seconds(8)));
+  EXPECT_TRUE(hasNoViolations(*cluster));
 }
 
-// The leader's machine is taken away for good, and half a minute later the next
-// leader goes as well, together with a worker. Users waited 18 s for the task
-// that ran there: the third leader still allowed for the first one, which could
-// not say that it was gone, although its time had long been over.
-TEST(Cluster, LeaderThatWasRemovedIsWaitedForOnce) {
-  auto cluster = serving();
+// Guards against a task that waits 18 s for a restart: the leader's host is
+// removed for good, and half a minute later the next leader fails together with
+// a worker. The third leader still waited for the first one, which could not
+// confirm that it had ended, although its grants had expired long before.
+TEST(Cluster, RemovedLeaderIsWaitedForOnce) {
+  auto cluster = servingCluster();
   const int first = cluster->leader();
   ASSERT_GE(first, 0);
   cluster->killEntry(first);
   cluster->runFor(absl::Seconds(30));
   cluster->submit((first + 1) % 3, "k1", job("j", 12, 4, 3000));
   cluster->runFor(absl::Milliseconds(500));
-  cluster->removeMachine(0);
+  cluster->removeHost(0);
   const int second = cluster->leader();
   ASSERT_GE(second, 0);
   cluster->killEntry(second);
   cluster->runFor(absl::Seconds(1));
   cluster->startEntry(second);
-  EXPECT_TRUE(cluster->runUntilOver(absl::Seconds(14)));
-  EXPECT_TRUE(keptAllRules(*cluster));
+  EXPECT_TRUE(cluster->runUntilAllEnded(absl::Seconds(14)));
+  EXPECT_TRUE(hasNoViolations(*cluster));
 }
 
-// The old leader is cut off from store and new leader, but still reaches one
-// agent, which the new leader does not. The task there may run on for as long
-// as the old leader grants: it must not start elsewhere before that.
+// The old leader is partitioned from the store and the new leader, but still
+// reaches one agent that the new leader does not reach. The task there may run
+// for as long as the old leader extends its lease; guards against a start
+// elsewhere before that.
 TEST(Cluster, TaskAtAnAgentThatOnlyTheOldLeaderReachesRunsOnce) {
-  auto cluster = serving();
+  auto cluster = servingCluster();
   cluster->submit(0, "k1", job("j", 6, 8, 25000));
   cluster->runFor(absl::Seconds(1));
   const int old = cluster->leader();
   cluster->store().faults(MemoryCluster::entryName(old)).Silent = true;
   for (int n = 0; n < 3; ++n)
     if (n != old)
-      cluster->cutPair(MemoryCluster::entryName(n),
-                       MemoryCluster::agentName(0));
+      cluster->partitionPair(MemoryCluster::entryName(n),
+                             MemoryCluster::agentName(0));
   for (int n = 0; n < 3; ++n)
     if (n != old)
-      cluster->cutPair(MemoryCluster::entryName(n),
-                       MemoryCluster::entryName(old));
-  EXPECT_TRUE(cluster->runUntilOver(absl::Seconds(90)));
-  EXPECT_TRUE(keptAllRules(*cluster));
+      cluster->partitionPair(MemoryCluster::entryName(n),
+                             MemoryCluster::entryName(old));
+  EXPECT_TRUE(cluster->runUntilAllEnded(absl::Seconds(90)));
+  EXPECT_TRUE(hasNoViolations(*cluster));
 }
 
-// An entry is cut off from the store while a key is taken away. A caller with
-// that key could still hand in jobs there, long after every other entry
-// refused it: the entry went on with the configuration it had.
-TEST(Cluster, KeyTakenAwayIsRefusedAtAnEntryThatIsCutOff) {
-  auto cluster = serving();
+// Guards against an entry that accepts jobs with a removed key long after every
+// other entry refuses it: the entry lost the store before the key was removed
+// and went on with its old configuration.
+TEST(Cluster, RemovedKeyIsRefusedAtAnIsolatedEntry) {
+  auto cluster = servingCluster();
   cluster->submit(0, "k2", job("before", 1, 1, 500));
   cluster->runFor(absl::Seconds(1));
   cluster->store().faults(MemoryCluster::entryName(0)).Silent = true;
   cluster->configure({"k1"});
-  const absl::Time taken = cluster->loop().now();
-  while (cluster->loop().now() - taken < absl::Seconds(9)) {
+  const absl::Time removedAt = cluster->loop().now();
+  while (cluster->loop().now() - removedAt < absl::Seconds(9)) {
     auto submitted = cluster->submit(0, "k2", job("late", 1, 1, 500));
     auto shown = cluster->state(0, "k2", "before");
     cluster->runFor(absl::Milliseconds(250));
-    if (shown->Sent - taken > absl::Seconds(5)) {
+    if (shown->SentAt - removedAt > absl::Seconds(5)) {
       ASSERT_TRUE(shown->Answer.has_value());
       EXPECT_NE(shown->Answer->Result, jobs::CallResult::Ok);
     }
@@ -715,20 +744,21 @@
   }
   cluster->store().faults(MemoryCluster::entryName(0)).Silent = false;
   cluster->runFor(absl::Seconds(8));
-  EXPECT_FALSE(cluster->stored("late").has_value());
+  EXPECT_FALSE(cluster->storedState("late").has_value());
 }
 
-// The store falls silent. Callers were kept waiting for their whole three
-// seconds and then got nothing, so that they tried again late or not at all.
-TEST(Cluster, SilentStoreKeepsNoCallerWaiting) {
-  auto cluster = serving();
+// Guards against callers that wait for their whole three seconds without an
+// answer while the store does not answer, so that they retry late or not at
+// all.
+TEST(Cluster, SilentStoreDoesNotBlockCallers) {
+  auto cluster = servingCluster();
   for (int n = 0; n < 3; ++n)
     cluster->store().faults(MemoryCluster::entryName(n)).Silent = true;
   for (int tenth = 0; tenth < 40; ++tenth) {
     auto call = cluster->submit(tenth % 3, "k1",
                                 job("s" + std::to_string(tenth), 1, 1, 500));
     cluster->runFor(absl::Milliseconds(100));
-    // Once the silence is known nobody waits at all.
+    // Once the outage is detected, nobody waits at all.
     if (tenth >= 20) {
       ASSERT_TRUE(call->Answer.has_value()) << tenth;
       EXPECT_EQ(call->Answer->Result, jobs::CallResult::NotDone);
@@ -744,10 +774,10 @@
   cluster->runFor(absl::Seconds(2));
 }
 
-// A cancel is confirmed at one entry while the leader's watch is silent. Users
-// saw tasks of the job start seconds later.
+// Guards against tasks of a job that start seconds after one entry has
+// confirmed the job's cancellation, because the leader's watch is silent.
 TEST(Cluster, NothingStartsAfterACancelWasConfirmed) {
-  auto cluster = serving();
+  auto cluster = servingCluster();
   cluster->submit(0, "k1", job("fills", 48, 1, 3000));
   cluster->runFor(absl::Milliseconds(300));
   cluster->submit(1, "k1", job("waits", 8, 8, 1000));
@@ -763,13 +793,13 @@
   const int starts = cluster->starts();
   cluster->runFor(absl::Seconds(6));
   EXPECT_EQ(cluster->starts(), starts);
-  EXPECT_EQ(cluster->stored("waits"), jobs::JobState::Cancelled);
+  EXPECT_EQ(cluster->storedState("waits"), jobs::JobState::Cancelled);
 }
 
-// The same id is handed in at two entries at once, and again later: callers
-// ask again when an answer is lost. It is one job.
-TEST(Cluster, SameIdIsOneJobWhereverItIsHandedIn) {
-  auto cluster = serving();
+// Callers retry when an answer is lost: the same id is submitted at two entries
+// at once, and again later. It must remain one job.
+TEST(Cluster, SameIdAtSeveralEntriesIsOneJob) {
+  auto cluster = servingCluster();
   auto first = cluster->submit(0, "k1", job("same", 2, 1, 1000));
   auto second = cluster->submit(1, "k1", job("same", 2, 1, 1000));
   auto stranger = cluster->submit(2, "k2", job("same", 2, 1, 1000));
@@ -777,12 +807,12 @@
   EXPECT_EQ(first->Answer->Result, jobs::CallResult::Ok);
   EXPECT_EQ(second->Answer->Result, jobs::CallResult::Ok);
   EXPECT_EQ(stranger->Answer->Result, jobs::CallResult::IdTaken);
-  ASSERT_TRUE(cluster->runUntilOver(absl::Seconds(5)));
+  ASSERT_TRUE(cluster->runUntilAllEnded(absl::Seconds(5)));
   auto late = cluster->submit(2, "k1", job("same", 2, 1, 1000));
   cluster->runFor(absl::Seconds(2));
   EXPECT_EQ(late->Answer->Result, jobs::CallResult::Ok);
   EXPECT_EQ(cluster->starts(), 2);
-  EXPECT_TRUE(keptAllRules(*cluster));
+  EXPECT_TRUE(hasNoViolations(*cluster));
 }
 
 } // namespace
--- a/tests/auto/cluster/tst_crashdays.cpp
+++ b/tests/auto/cluster/tst_crashdays.cpp
@@ -1,6 +1,6 @@
-// Days on which workers crash, by themselves and under tasks that crash each
-// worker that starts them, come back under new ids or their own, and shrink and
-// grow.
+// Random scenarios in which workers crash, by themselves and through tasks that
+// crash each worker that starts them, come back under new ids or the same ones,
+// and change their capacity.
 #include "memorycluster.h"
 #include "seeds.h"
 
@@ -17,28 +17,31 @@
 
 constexpr int Entries = 3;
 constexpr int Workers = 8;
-/// Jobs with names that begin so have a first task that crashes its workers.
-const std::string Bad = "bad";
+/// In jobs whose names begin with this the first task crashes its workers.
+const std::string CrashingPrefix = "bad";
 
-bool isBad(const std::string &job) { return job.rfind(Bad, 0) == 0; }
+bool isCrashingJob(const std::string &job) {
+  return job.rfind(CrashingPrefix, 0) == 0;
+}
 
-class CrashDay {
+class CrashScenario {
 public:
-  explicit CrashDay(uint64_t seed) : Random(seed), Cluster(options(seed)) {
-    Cluster.setCrashing([](const std::string &task) {
+  explicit CrashScenario(uint64_t seed) : Random(seed), Cluster(options(seed)) {
+    Cluster.setCrashingTasks([](const std::string &task) {
       core::TaskId id;
-      return core::parseTaskName(task, id) && isBad(id.Job) && id.Index == 0;
+      return core::parseTaskName(task, id) && isCrashingJob(id.Job) &&
+             id.Index == 0;
     });
   }
 
-  void play() {
+  void run() {
     Cluster.configure({"k"});
     Cluster.runFor(absl::Seconds(4));
     for (int tick = 0; tick < 120; ++tick) {
-      if (any(1, 5) == 1)
-        submit(any(1, 5) == 1 ? Bad : "clean");
-      if (any(1, 15) == 1)
-        strike();
+      if (randomInt(1, 5) == 1)
+        submit(randomInt(1, 5) == 1 ? CrashingPrefix : "clean");
+      if (randomInt(1, 15) == 1)
+        injectFault();
       Cluster.runFor(absl::Milliseconds(200));
     }
     healAll();
@@ -54,88 +57,92 @@
     o.Seed = seed;
     return o;
   }
-  int any(int from, int to) {
+  int randomInt(int from, int to) {
     return std::uniform_int_distribution<>(from, to)(Random);
   }
 
   void submit(const std::string &kind) {
     core::JobSpec spec;
     spec.Id = kind + std::to_string(++Jobs);
-    spec.Queue = "q" + std::to_string(any(0, 2));
+    spec.Queue = "q" + std::to_string(randomInt(0, 2));
     spec.Payload = "text";
     core::StepSpec step;
-    step.Count = any(1, 6);
-    step.PerTask = {500 * any(1, 8), 1000 * any(1, 8), 1 << any(0, 3)};
-    step.EstimateMs = 100 * any(5, 60);
-    // The stand-in lets each member of a gang end by itself.
-    step.Gang = any(0, 1) == 1 && kind != Bad;
-    step.Checkpoints = any(0, 1) == 1;
+    step.Count = randomInt(1, 6);
+    step.PerTask = {500 * randomInt(1, 8), 1000 * randomInt(1, 8),
+                    1 << randomInt(0, 3)};
+    step.EstimateMs = 100 * randomInt(5, 60);
+    // MemoryWorker lets each member of a gang end by itself, so crashing jobs
+    // are no gangs.
+    step.Gang = randomInt(0, 1) == 1 && kind != CrashingPrefix;
+    step.Checkpoints = randomInt(0, 1) == 1;
     spec.Steps.push_back(step);
-    Cluster.submit(any(0, Entries - 1), "k", spec);
+    Cluster.submit(randomInt(0, Entries - 1), "k", spec);
   }
 
-  void later(std::function<void()> heal) {
-    Cluster.loop().runAfter(absl::Milliseconds(any(300, 6000)),
+  void healLater(std::function<void()> heal) {
+    Cluster.loop().runAfter(absl::Milliseconds(randomInt(300, 6000)),
                             std::move(heal));
   }
 
-  void strike() {
-    const int entry = any(0, Entries - 1);
-    const int worker = any(0, Workers - 1);
+  void injectFault() {
+    const int entry = randomInt(0, Entries - 1);
+    const int worker = randomInt(0, Workers - 1);
     MemoryStore::Faults &store =
         Cluster.store().faults(MemoryCluster::entryName(entry));
-    switch (any(0, 9)) {
+    switch (randomInt(0, 9)) {
     case 0:
       Cluster.killEntry(entry);
-      return later([this, entry] { revive(entry); });
+      return healLater([this, entry] { restartEntry(entry); });
     case 1:
       Cluster.killAgent(worker);
-      return later([this, worker] { Cluster.startAgent(worker); });
+      return healLater([this, worker] { Cluster.startAgent(worker); });
     case 2:
       store.Silent = true;
-      return later([&store] { store.Silent = false; });
+      return healLater([&store] { store.Silent = false; });
     case 3:
-      store.LosesAnswers = 0.4;
-      return later([&store] { store.LosesAnswers = 0; });
+      store.LostAnswerShare = 0.4;
+      return healLater([&store] { store.LostAnswerShare = 0; });
     case 4:
-      Cluster.worker(worker).LateOrders = 0.3;
-      return later([this, worker] { Cluster.worker(worker).LateOrders = 0; });
+      Cluster.worker(worker).LateOrderShare = 0.3;
+      return healLater(
+          [this, worker] { Cluster.worker(worker).LateOrderShare = 0; });
     case 5:
-      Cluster.worker(worker).LostAnswers = 0.4;
-      return later([this, worker] { Cluster.worker(worker).LostAnswers = 0; });
+      Cluster.worker(worker).LostOrderAnswerShare = 0.4;
+      return healLater(
+          [this, worker] { Cluster.worker(worker).LostOrderAnswerShare = 0; });
     case 6:
     case 7:
-      return resize(worker);
+      return changeCapacity(worker);
     default:
-      return fallSome();
+      return crashSomeWorkers();
     }
   }
 
-  void resize(int worker) {
+  void changeCapacity(int worker) {
     const core::Resources whole{32000, 65536, 8};
-    MemoryWorker &machine = Cluster.worker(worker);
-    machine.setCapacity({any(4, 32) * 1000, 65536, any(0, 8)});
-    later([&machine, whole] { machine.setCapacity(whole); });
+    MemoryWorker &target = Cluster.worker(worker);
+    target.setCapacity({randomInt(4, 32) * 1000, 65536, randomInt(0, 8)});
+    healLater([&target, whole] { target.setCapacity(whole); });
   }
 
-  void fallSome() {
-    const int many = any(1, Workers / 2);
-    for (int n = 0; n < many; ++n)
-      Cluster.worker(any(0, Workers - 1))
-          .fall(absl::Milliseconds(any(20, 4000)),
-                any(0, 2) == 0 ? MemoryWorker::Id::New
-                               : MemoryWorker::Id::Same);
+  void crashSomeWorkers() {
+    const int crashCount = randomInt(1, Workers / 2);
+    for (int n = 0; n < crashCount; ++n)
+      Cluster.worker(randomInt(0, Workers - 1))
+          .crashFor(absl::Milliseconds(randomInt(20, 4000)),
+                    randomInt(0, 2) == 0 ? MemoryWorker::RestartId::New
+                                         : MemoryWorker::RestartId::Same);
   }
 
-  void revive(int entry) {
-    if (!Cluster.entryUp(entry))
+  void restartEntry(int entry) {
+    if (!Cluster.isEntryUp(entry))
       Cluster.startEntry(entry);
   }
 
   void healAll() {
     Cluster.runFor(absl::Seconds(8));
     for (int n = 0; n < Entries; ++n)
-      revive(n);
+      restartEntry(n);
     for (int n = 0; n < Workers; ++n)
       Cluster.startAgent(n);
   }
@@ -145,52 +152,55 @@
   int Jobs = 0;
 };
 
-/// Seeds that once showed a fault, with its cause.
+/// Seeds that once revealed a fault, with its cause.
 constexpr int RegressionSeeds[] = {
-    199,  // a try of a start came late to the worker's next life
+    199,  // a retried start came late to the worker's next incarnation
     1254, // the same, after its run had ended
-    133,  // a crash was blamed on a run that the next life had
-    581,  // the next life was told to forget an end by the count of the one
-          // before
+    133,  // a crash was blamed on a run of the next incarnation
+    581,  // the next incarnation dropped an end due to a number
+          // acknowledged for the previous one
     616,  // the same
 };
 
-/// A task may be given up once two workers have gone down under it.
-bool mayFail(const MemoryCluster &cluster, const std::string &job) {
-  const auto &lost = cluster.field().WorkersLostUnder;
-  return std::any_of(lost.begin(), lost.end(), [&](const auto &entry) {
-    core::TaskId id;
-    return core::parseTaskName(entry.first, id) && id.Job == job &&
-           entry.second >= 2;
-  });
+/// A job may fail once two workers have gone down while they ran one task of
+/// it.
+bool isFailureAllowed(const MemoryCluster &cluster, const std::string &job) {
+  const auto &workersLost = cluster.sharedState().WorkersLostByTask;
+  return std::any_of(workersLost.begin(), workersLost.end(),
+                     [&](const auto &entry) {
+                       core::TaskId id;
+                       return core::parseTaskName(entry.first, id) &&
+                              id.Job == job && entry.second >= 2;
+                     });
 }
 
-// Guards against tasks that take workers down without end, and against clean
-// jobs that are lost or failed for it.
-TEST(CrashDays, PromisesHold) {
-  const auto [first, last] = seedsToPlay();
+// Guards against tasks that crash workers without end, and against other jobs
+// that are lost or failed because of them.
+TEST(WorkerCrashes, InvariantsHoldUnderRandomFaults) {
+  const auto [first, last] = seedsToRun();
   std::vector<int> seeds(std::begin(RegressionSeeds),
                          std::end(RegressionSeeds));
   for (int seed = first; seed <= last; ++seed)
     seeds.push_back(seed);
   for (int seed : seeds) {
-    CrashDay day(static_cast<uint64_t>(seed));
-    day.play();
-    MemoryCluster &cluster = day.cluster();
-    EXPECT_TRUE(cluster.runUntilOver(absl::Minutes(3)))
+    CrashScenario scenario(static_cast<uint64_t>(seed));
+    scenario.run();
+    MemoryCluster &cluster = scenario.cluster();
+    EXPECT_TRUE(cluster.runUntilAllEnded(absl::Minutes(3)))
         << "seed " << seed << ": a job does not end";
-    const std::vector<std::string> broken = cluster.violations();
-    EXPECT_TRUE(broken.empty())
-        << "seed " << seed << ": " << broken.front() << '\n'
-        << cluster.storyOf(broken.front().substr(0, broken.front().find('.')));
-    for (const std::string &job : cluster.accepted()) {
-      const auto state = cluster.stored(job);
-      EXPECT_TRUE(isBad(job) ? state == jobs::JobState::Failed
-                             : state == jobs::JobState::Completed ||
-                                   (state == jobs::JobState::Failed &&
-                                    mayFail(cluster, job)))
+    const std::vector<std::string> foundViolations = cluster.violations();
+    EXPECT_TRUE(foundViolations.empty())
+        << "seed " << seed << ": " << foundViolations.front() << '\n'
+        << cluster.decisionsText(foundViolations.front().substr(
+               0, foundViolations.front().find('.')));
+    for (const std::string &job : cluster.acceptedJobs()) {
+      const auto state = cluster.storedState(job);
+      EXPECT_TRUE(isCrashingJob(job) ? state == jobs::JobState::Failed
+                                     : state == jobs::JobState::Completed ||
+                                           (state == jobs::JobState::Failed &&
+                                            isFailureAllowed(cluster, job)))
           << "seed " << seed << ": " << job << '\n'
-          << cluster.storyOf(job);
+          << cluster.decisionsText(job);
     }
   }
 }
--- a/tests/auto/cluster/tst_prefixfollower.cpp
+++ b/tests/auto/cluster/tst_prefixfollower.cpp
@@ -10,30 +10,31 @@
 namespace oriolebay::cluster {
 namespace {
 
-struct RestCase {
+struct DelayCase {
   const char *Name;
-  absl::Duration Rest;
-  /// Of 200 writes within a second.
-  int MostCalls;
-  int MostReports;
+  absl::Duration Delay;
+  /// Maximum numbers for 200 writes within a second.
+  int MaxCalls;
+  int MaxReports;
 };
 
-std::ostream &operator<<(std::ostream &out, const RestCase &c) {
+std::ostream &operator<<(std::ostream &out, const DelayCase &c) {
   return out << c.Name;
 }
 
-class FollowerRests : public ::testing::TestWithParam<RestCase> {};
+class PrefixFollowerDelay : public ::testing::TestWithParam<DelayCase> {};
 
-// A job's record is written many times a second, and each write wakes every
+// Guards against a load on the store that grows with the number of entries: a
+// job's record is written many times a second, and each write wakes every
 // entry's watch. With 55 entries the store was called two thousand times a
-// second, and entries that had nothing else to do read each version of each
-// record. The load: two keys that change every 10 ms for a second.
-TEST_P(FollowerRests, ManyChangesTakeFewCallsAndTheNewestIsReported) {
+// second, and idle entries read each version of each record. The load is two
+// keys that change every 10 ms for a second.
+TEST_P(PrefixFollowerDelay, CoalescesChangesAndReportsTheNewest) {
   utils::EventLoop loop(100, utils::EventLoop::Time::Manual);
   MemoryStore store(loop, 1);
   const platform::Store client = store.clientOf("entry");
   platform::FollowTiming timing;
-  timing.RestAfterNews = [] { return GetParam().Rest; };
+  timing.RestAfterNews = [] { return GetParam().Delay; };
   std::vector<std::string> reported;
   platform::PrefixFollower follower(
       loop, client, "jobs/", timing,
@@ -53,18 +54,19 @@
     loop.advance(absl::Milliseconds(10));
   }
   loop.advance(absl::Seconds(1));
-  EXPECT_LE(store.calls() - before, GetParam().MostCalls);
-  EXPECT_LE(static_cast<int>(reported.size()), GetParam().MostReports);
+  EXPECT_LE(store.calls() - before, GetParam().MaxCalls);
+  EXPECT_LE(static_cast<int>(reported.size()), GetParam().MaxReports);
   ASSERT_GE(reported.size(), 2u);
   EXPECT_EQ(reported[reported.size() - 2], "jobs/a=100");
   EXPECT_EQ(reported.back(), "jobs/b=100");
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, FollowerRests,
-    ::testing::Values(RestCase{"half_a_second", absl::Milliseconds(500), 5, 10},
-                      RestCase{"a_tenth", absl::Milliseconds(100), 15, 30},
-                      RestCase{"none", absl::ZeroDuration(), 202, 400}),
+    Table, PrefixFollowerDelay,
+    ::testing::Values(DelayCase{"half_a_second", absl::Milliseconds(500), 5,
+                                10},
+                      DelayCase{"a_tenth", absl::Milliseconds(100), 15, 30},
+                      DelayCase{"none", absl::ZeroDuration(), 202, 400}),
     [](const auto &info) { return info.param.Name; });
 
 } // namespace
--- a/tests/auto/cluster/tst_restarts.cpp
+++ b/tests/auto/cluster/tst_restarts.cpp
@@ -1,4 +1,4 @@
-// Workers that start again under the id that they had.
+// Tests of workers that start again under their previous id.
 #include "memorycluster.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace oriolebay::cluster {
 namespace {
 
-using Id = MemoryWorker::Id;
+using RestartId = MemoryWorker::RestartId;
 
 constexpr int Workers = 3;
 
@@ -27,132 +27,137 @@
   return spec;
 }
 
-struct Case {
+struct RestartCase {
   const char *Name;
-  /// From its crash until it listens again.
-  int BackAfterMs;
+  /// Time from the crash until the worker listens again.
+  int DowntimeMs;
 };
 
-void PrintTo(const Case &c, std::ostream *out) { *out << c.Name; }
+void PrintTo(const RestartCase &c, std::ostream *out) { *out << c.Name; }
 
-class Restart : public testing::TestWithParam<Case> {
+class Restart : public testing::TestWithParam<RestartCase> {
 protected:
   Restart() {
     MemoryCluster::Options options;
     options.Workers = Workers;
-    Site = std::make_unique<MemoryCluster>(options);
-    Site->configure({"k"});
-    Site->runFor(absl::Seconds(4));
+    Cluster = std::make_unique<MemoryCluster>(options);
+    Cluster->configure({"k"});
+    Cluster->runFor(absl::Seconds(4));
   }
 
   void restart(int worker) {
-    Site->worker(worker).fall(absl::Milliseconds(GetParam().BackAfterMs),
-                              Id::Same);
+    Cluster->worker(worker).crashFor(absl::Milliseconds(GetParam().DowntimeMs),
+                                     RestartId::Same);
   }
   void submit(const core::JobSpec &spec) {
-    Site->submit(0, "k", spec);
-    Site->runFor(absl::Milliseconds(100));
-    ASSERT_EQ(Site->accepted().count(spec.Id), 1u);
+    Cluster->submit(0, "k", spec);
+    Cluster->runFor(absl::Milliseconds(100));
+    ASSERT_EQ(Cluster->acceptedJobs().count(spec.Id), 1u);
   }
-  /// Hands in a job whose starts all go out and come late to their workers.
+  /// Submits a job whose starts are all sent but reach their workers late.
   void submitWithLateStarts() {
     for (int n = 0; n < Workers; ++n)
-      Site->worker(n).LateOrders = 1;
+      Cluster->worker(n).LateOrderShare = 1;
     submit(job("j", Workers, 8, 6000));
     for (int n = 0; n < Workers; ++n)
-      Site->worker(n).LateOrders = 0;
+      Cluster->worker(n).LateOrderShare = 0;
   }
-  void expectOver(absl::Duration limit) {
-    EXPECT_TRUE(Site->runUntilOver(limit));
-    for (const std::string &id : Site->accepted())
-      EXPECT_EQ(Site->stored(id), jobs::JobState::Completed)
+  void expectAllCompleted(absl::Duration limit) {
+    EXPECT_TRUE(Cluster->runUntilAllEnded(limit));
+    for (const std::string &id : Cluster->acceptedJobs())
+      EXPECT_EQ(Cluster->storedState(id), jobs::JobState::Completed)
           << id << '\n'
-          << Site->storyOf(id);
-    const std::vector<std::string> broken = Site->violations();
-    EXPECT_TRUE(broken.empty()) << broken.front();
+          << Cluster->decisionsText(id);
+    const std::vector<std::string> foundViolations = Cluster->violations();
+    EXPECT_TRUE(foundViolations.empty()) << foundViolations.front();
   }
 
-  std::unique_ptr<MemoryCluster> Site;
+  std::unique_ptr<MemoryCluster> Cluster;
 };
 
-// Guards against a worker that is never used again, as its id is that of a life
-// that has ended.
+// Guards against a worker that is never used again because its id is that of an
+// incarnation that has ended.
 TEST_P(Restart, WorkerIsUsedAgain) {
   for (int n = 0; n < Workers; ++n)
     restart(n);
-  Site->runFor(absl::Seconds(4));
+  Cluster->runFor(absl::Seconds(4));
   submit(job("all", Workers, 8, 1000));
-  expectOver(absl::Seconds(6));
+  expectAllCompleted(absl::Seconds(6));
 }
 
-// Guards against work that counts as running at a worker that has forgotten it.
-TEST_P(Restart, LostWorkStartsAgainSoon) {
+// Guards against runs that count as running on a worker that has lost them in
+// its restart.
+TEST_P(Restart, LostRunsStartAgainSoon) {
   submit(job("j", Workers, 8, 3000));
-  Site->runFor(absl::Seconds(1));
+  Cluster->runFor(absl::Seconds(1));
   restart(0);
-  expectOver(absl::Seconds(9));
+  expectAllCompleted(absl::Seconds(9));
 }
 
-// Guards against ends that are never taken, as they count from one again.
-TEST_P(Restart, EndsThatCountFromOneAgainAreTaken) {
+// Guards against ends that are never accepted because their numbers begin at
+// one again.
+TEST_P(Restart, EndsNumberedFromOneAgainAreAccepted) {
   submit(job("before", 60, 1, 300));
-  ASSERT_TRUE(Site->runUntilOver(absl::Seconds(10)));
+  ASSERT_TRUE(Cluster->runUntilAllEnded(absl::Seconds(10)));
   for (int n = 0; n < Workers; ++n)
     restart(n);
-  Site->runFor(absl::Seconds(1));
+  Cluster->runFor(absl::Seconds(1));
   submit(job("after", 24, 1, 300));
-  expectOver(absl::Seconds(9));
+  expectAllCompleted(absl::Seconds(9));
 }
 
-// Guards against a restart that goes unnoticed again and again.
-TEST_P(Restart, WorkerThatRestartsOverAndOverIsUsedInBetween) {
+// Guards against a worker whose repeated restarts go undetected.
+TEST_P(Restart, RepeatedlyRestartingWorkerIsUsedBetweenRestarts) {
   for (int n = 0; n < 12; ++n) {
     submit(job("j" + std::to_string(n), Workers, 4, 1000));
     restart(n % Workers);
-    Site->runFor(absl::Seconds(3));
+    Cluster->runFor(absl::Seconds(3));
   }
-  expectOver(absl::Seconds(20));
+  expectAllCompleted(absl::Seconds(20));
 }
 
-// Guards against a task that runs twice: the start for the life before is
-// carried out by the next one, which answers to the same id.
-TEST_P(Restart, LateStartForTheLifeBeforeDoesNotRunBesideItsTask) {
+// Guards against a task that runs twice: the start for the previous incarnation
+// is carried out by the next one, which has the same id.
+TEST_P(Restart, DelayedStartForPreviousIncarnationDoesNotRunTwice) {
   submitWithLateStarts();
   for (int n = 0; n < Workers; ++n)
     restart(n);
-  Site->runFor(absl::Seconds(14));
-  expectOver(absl::Seconds(30));
+  Cluster->runFor(absl::Seconds(14));
+  expectAllCompleted(absl::Seconds(30));
 }
 
-// Guards against the same where the agent is new, too, and knows of nothing.
-TEST_P(Restart, LateStartIsSettledByAnAgentThatIsNewToo) {
+// Guards against the same fault where the agent is new as well and knows
+// nothing of the start.
+TEST_P(Restart, DelayedStartIsResolvedByANewAgent) {
   submitWithLateStarts();
   for (int n = 0; n < Workers; ++n) {
-    Site->killAgent(n);
+    Cluster->killAgent(n);
     restart(n);
   }
-  Site->runFor(absl::Milliseconds(200));
+  Cluster->runFor(absl::Milliseconds(200));
   for (int n = 0; n < Workers; ++n)
-    Site->startAgent(n);
-  Site->runFor(absl::Seconds(14));
-  expectOver(absl::Seconds(30));
+    Cluster->startAgent(n);
+  Cluster->runFor(absl::Seconds(14));
+  expectAllCompleted(absl::Seconds(30));
 }
 
-// Guards against the same where the leader is new.
-TEST_P(Restart, LateStartIsSettledByTheNextLeader) {
+// Guards against the same fault where the leader is new.
+TEST_P(Restart, DelayedStartIsResolvedByTheNextLeader) {
   submitWithLateStarts();
   for (int n = 0; n < Workers; ++n)
     restart(n);
-  Site->runFor(absl::Milliseconds(500));
-  Site->killEntry(Site->leader());
-  Site->runFor(absl::Seconds(14));
-  expectOver(absl::Seconds(30));
+  Cluster->runFor(absl::Milliseconds(500));
+  Cluster->killEntry(Cluster->leader());
+  Cluster->runFor(absl::Seconds(14));
+  expectAllCompleted(absl::Seconds(30));
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table, Restart,
-    testing::Values(Case{"between_two_looks", 20}, Case{"quick", 200},
-                    Case{"when_its_end_is_noticed", 500}, Case{"later", 2500}),
+    testing::Values(RestartCase{"between_two_polls", 20},
+                    RestartCase{"quick", 200},
+                    RestartCase{"when_its_end_is_detected", 500},
+                    RestartCase{"later", 2500}),
     [](const auto &test) { return std::string(test.param.Name); });
 
 } // namespace
