--- a/src/libs/jobs/demandbook.cpp
+++ b/src/libs/jobs/demandbook.cpp
@@ -7,36 +7,39 @@
 
 namespace {
 
-/// What came so long ago counts e times less than what comes now.
-constexpr absl::Duration FadesIn = absl::Seconds(20);
-/// Standard deviations beyond the mean.
-constexpr double Spread = 1;
+/// Time after which an arrival counts e times less than a new one.
+constexpr absl::Duration DecayTime = absl::Seconds(20);
+/// Number of standard deviations above the mean.
+constexpr double DeviationsAboveMean = 1;
 
 } // namespace
 
 double DemandBook::decayed(double sum, absl::Time now) const {
-  return sum == 0 ? 0
-                  : sum * std::exp(-absl::FDivDuration(now - Last, FadesIn));
+  return sum == 0
+             ? 0
+             : sum *
+                   std::exp(-absl::FDivDuration(now - LastArrival, DecayTime));
 }
 
 void DemandBook::arrived(int64_t accelerators, absl::Time now) {
   const auto a = static_cast<double>(accelerators);
-  Sum = decayed(Sum, now) + a;
-  Squares = decayed(Squares, now) + a * a;
-  Last = now;
-  First = std::min(First, now);
+  AcceleratorSum = decayed(AcceleratorSum, now) + a;
+  SquareSum = decayed(SquareSum, now) + a * a;
+  LastArrival = now;
+  FirstArrival = std::min(FirstArrival, now);
 }
 
 double DemandBook::within(absl::Duration span, absl::Time now) const {
-  if (Sum == 0)
+  if (AcceleratorSum == 0)
     return 0;
-  // At first the sums have not had the time to fill up.
-  const double filled =
-      1 - std::exp(-absl::FDivDuration(now - First + span, FadesIn));
+  // Corrects for the sums not yet having reached their steady state shortly
+  // after the first arrival.
+  const double fillLevel =
+      1 - std::exp(-absl::FDivDuration(now - FirstArrival + span, DecayTime));
   const double share =
-      absl::FDivDuration(span, FadesIn) / std::max(filled, 1e-6);
-  return decayed(Sum, now) * share +
-         Spread * std::sqrt(decayed(Squares, now) * share);
+      absl::FDivDuration(span, DecayTime) / std::max(fillLevel, 1e-6);
+  return decayed(AcceleratorSum, now) * share +
+         DeviationsAboveMean * std::sqrt(decayed(SquareSum, now) * share);
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/demandbook.h
+++ b/src/libs/jobs/demandbook.h
@@ -6,25 +6,28 @@
 
 namespace oriolebay::jobs {
 
-/// Learns how much room urgent work asks for at short notice: how often it
-/// comes and how wide it is, the latest jobs counting most.
+/// Estimates how many accelerators urgent work needs at short notice, from how
+/// often urgent jobs arrive and how wide they are. Recent jobs count most.
 class DemandBook {
 public:
-  /// An urgent job came that can begin with so many accelerators.
+  /// Records the arrival of an urgent job that can start on the given number of
+  /// accelerators.
   void arrived(int64_t accelerators, absl::Time now);
 
-  /// Accelerators that the jobs which come within the next span will ask for:
-  /// the mean, and a standard deviation more, as they come by chance.
+  /// Number of accelerators that the jobs arriving within the next span are
+  /// expected to need: the mean plus one standard deviation, because arrivals
+  /// are random.
   double within(absl::Duration span, absl::Time now) const;
 
 private:
   double decayed(double sum, absl::Time now) const;
 
-  absl::Time First = absl::InfiniteFuture();
-  absl::Time Last = absl::InfinitePast();
-  /// Of accelerators and of their squares, each job's share fading with time.
-  double Sum = 0;
-  double Squares = 0;
+  absl::Time FirstArrival = absl::InfiniteFuture();
+  absl::Time LastArrival = absl::InfinitePast();
+  /// Sums of the accelerators per job and of their squares, in which the share
+  /// of each job decays with time.
+  double AcceleratorSum = 0;
+  double SquareSum = 0;
 };
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/fleet.cpp
+++ b/src/libs/jobs/fleet.cpp
@@ -4,34 +4,34 @@
 
 namespace oriolebay::jobs {
 
-// An agent that has just started has not heard of its worker yet: that says
-// nothing about a life that was known before.
+// An agent that has just started has no contact with its worker yet. Its report
+// says nothing about an incarnation that was known before.
 std::optional<endpoints::LifeEnd> endOf(const endpoints::WorkerReport &report,
-                                        const WorkerLife &life) {
+                                        const WorkerLife &incarnation) {
   for (const endpoints::LifeEnd &end : report.EndedLives)
-    if (end.Life == life)
+    if (end.Life == incarnation)
       return end;
-  if (!report.Worker.Life.empty() && report.Worker.Life != life)
-    return endpoints::LifeEnd{life};
+  if (!report.Worker.Life.empty() && report.Worker.Life != incarnation)
+    return endpoints::LifeEnd{incarnation};
   return std::nullopt;
 }
 
 bool Fleet::isOvertaken(const endpoints::WorkerReport &report) const {
-  auto it = ToldEnds.find(report.Agent);
-  return it != ToldEnds.end() && it->second.Life == report.Worker.Life &&
+  auto it = ReportedEnds.find(report.Agent);
+  return it != ReportedEnds.end() && it->second.Life == report.Worker.Life &&
          report.Sequence < it->second.Sequence;
 }
 
 std::vector<endpoints::LifeEnd>
 Fleet::heard(const endpoints::WorkerReport &report, absl::Time now) {
   std::vector<endpoints::LifeEnd> ended;
-  for (const auto &[life, worker] : Workers)
+  for (const auto &[incarnation, worker] : Workers)
     if (worker.Agent == report.Agent)
-      if (const auto end = endOf(report, life))
+      if (const auto end = endOf(report, incarnation))
         ended.push_back(*end);
   for (const endpoints::LifeEnd &end : ended) {
     Workers.erase(end.Life);
-    ToldEnds[report.Agent] = {end.Life, report.Sequence};
+    ReportedEnds[report.Agent] = {end.Life, report.Sequence};
   }
   if (report.Worker.Life.empty())
     return ended;
@@ -42,10 +42,12 @@
   worker.LastHeard = now;
   worker.Sequence = report.Sequence;
   worker.Reachable = report.Reachable;
-  worker.LeavesAt = report.Worker.Draining
-                        ? now + absl::Milliseconds(report.Worker.RemainingMs)
-                        : absl::InfiniteFuture();
-  // Nobody is granted more time while the worker cannot be held.
+  worker.EarliestShutdown =
+      report.Worker.Draining
+          ? now + absl::Milliseconds(report.Worker.RemainingMs)
+          : absl::InfiniteFuture();
+  // While the agent cannot reach the worker, its tasks are not kept alive any
+  // longer.
   if (report.Reachable || worker.LostAt == absl::Time())
     worker.LostAt = now + Policy.LostAfter;
   return ended;
@@ -53,27 +55,27 @@
 
 std::vector<WorkerLife> Fleet::takeLost(absl::Time now) {
   std::vector<WorkerLife> lost;
-  for (const auto &[life, worker] : Workers)
+  for (const auto &[incarnation, worker] : Workers)
     if (worker.LostAt <= now)
-      lost.push_back(life);
-  for (const WorkerLife &life : lost)
-    Workers.erase(life);
+      lost.push_back(incarnation);
+  for (const WorkerLife &incarnation : lost)
+    Workers.erase(incarnation);
   return lost;
 }
 
-WorkerView *Fleet::find(const WorkerLife &life) {
-  auto it = Workers.find(life);
+WorkerView *Fleet::find(const WorkerLife &incarnation) {
+  auto it = Workers.find(incarnation);
   return it == Workers.end() ? nullptr : &it->second;
 }
 
-const WorkerView *Fleet::find(const WorkerLife &life) const {
-  auto it = Workers.find(life);
+const WorkerView *Fleet::find(const WorkerLife &incarnation) const {
+  auto it = Workers.find(incarnation);
   return it == Workers.end() ? nullptr : &it->second;
 }
 
 core::Resources Fleet::capacityOf(const std::string &service) const {
   core::Resources all;
-  for (const auto &[life, worker] : Workers)
+  for (const auto &[incarnation, worker] : Workers)
     if (worker.State.Service == service)
       all += worker.State.Capacity;
   return all;
@@ -82,73 +84,74 @@
 bool Fleet::usable(const WorkerView &worker, absl::Time now) const {
   return !worker.State.Draining && worker.Reachable &&
          now - worker.LastHeard < Policy.SuspectAfter &&
-         now >= worker.KeptOutUntil;
+         now >= worker.QuarantinedUntil;
 }
 
-bool Fleet::recordEnd(const WorkerLife &life, bool ok, absl::Time now) {
-  WorkerView *worker = find(life);
+bool Fleet::recordEnd(const WorkerLife &incarnation, bool ok, absl::Time now) {
+  WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return false;
   if (ok) {
-    worker->FailedInARow = 0;
-    worker->KeepOut = absl::ZeroDuration();
-    ++worker->DoneHere;
+    worker->ConsecutiveFailures = 0;
+    worker->QuarantineDuration = absl::ZeroDuration();
+    ++worker->CompletedRuns;
     return false;
   }
-  if (++worker->FailedInARow < Policy.FailuresInARow)
+  if (++worker->ConsecutiveFailures < Policy.FailuresInARow)
     return false;
-  return keepOut(life, now);
+  return quarantine(incarnation, now);
 }
 
-bool Fleet::keepOut(const WorkerLife &life, absl::Time now) {
-  WorkerView *worker = find(life);
-  if (worker == nullptr || now < worker->KeptOutUntil)
+bool Fleet::quarantine(const WorkerLife &incarnation, absl::Time now) {
+  WorkerView *worker = find(incarnation);
+  if (worker == nullptr || now < worker->QuarantinedUntil)
     return false;
-  worker->KeepOut = worker->KeepOut == absl::ZeroDuration()
-                        ? Policy.KeepOutFirst
-                        : std::min(worker->KeepOut * 2, Policy.KeepOutLongest);
-  worker->KeptOutUntil = now + worker->KeepOut;
+  worker->QuarantineDuration =
+      worker->QuarantineDuration == absl::ZeroDuration()
+          ? Policy.FirstQuarantine
+          : std::min(worker->QuarantineDuration * 2, Policy.MaxQuarantine);
+  worker->QuarantinedUntil = now + worker->QuarantineDuration;
   return true;
 }
 
-void Fleet::occupy(const WorkerLife &life, const RunId &run,
-                   const core::Resources &room) {
-  WorkerView *worker = find(life);
-  if (worker != nullptr && worker->Occupants.emplace(run, room).second)
-    worker->Used += room;
+void Fleet::occupy(const WorkerLife &incarnation, const RunId &run,
+                   const core::Resources &resources) {
+  WorkerView *worker = find(incarnation);
+  if (worker != nullptr && worker->Allocations.emplace(run, resources).second)
+    worker->Used += resources;
 }
 
-void Fleet::vacate(const WorkerLife &life, const RunId &run) {
-  WorkerView *worker = find(life);
+void Fleet::vacate(const WorkerLife &incarnation, const RunId &run) {
+  WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
-  auto it = worker->Occupants.find(run);
-  if (it == worker->Occupants.end())
+  auto it = worker->Allocations.find(run);
+  if (it == worker->Allocations.end())
     return;
   worker->Used -= it->second;
-  worker->Occupants.erase(it);
+  worker->Allocations.erase(it);
 }
 
-bool Fleet::endListed(const WorkerLife &life, int64_t number) {
-  WorkerView *worker = find(life);
+bool Fleet::endListed(const WorkerLife &incarnation, int64_t number) {
+  WorkerView *worker = find(incarnation);
   if (worker == nullptr || number <= worker->SeenUpto)
     return false;
-  return worker->Ends.emplace(number, false).second;
+  return worker->RunEnds.emplace(number, false).second;
 }
 
-void Fleet::endRecorded(const WorkerLife &life, int64_t number) {
-  WorkerView *worker = find(life);
+void Fleet::endRecorded(const WorkerLife &incarnation, int64_t number) {
+  WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
-  auto it = worker->Ends.find(number);
-  if (it == worker->Ends.end())
+  auto it = worker->RunEnds.find(number);
+  if (it == worker->RunEnds.end())
     return;
   it->second = true;
-  // Ends are forgotten in order: one that is not recorded holds back those
-  // behind it.
-  while (!worker->Ends.empty() && worker->Ends.begin()->second) {
-    worker->SeenUpto = worker->Ends.begin()->first;
-    worker->Ends.erase(worker->Ends.begin());
+  // Ends are removed in order: one that has not been recorded yet blocks those
+  // after it.
+  while (!worker->RunEnds.empty() && worker->RunEnds.begin()->second) {
+    worker->SeenUpto = worker->RunEnds.begin()->first;
+    worker->RunEnds.erase(worker->RunEnds.begin());
   }
 }
 
--- a/src/libs/jobs/fleet.h
+++ b/src/libs/jobs/fleet.h
@@ -16,45 +16,51 @@
 using endpoints::RunId;
 using endpoints::WorkerLife;
 
-/// How workers are judged.
+/// Limits that decide which workers are used.
 struct FleetPolicy {
-  /// A worker that was silent for so long gets no new work.
+  /// A worker gets no new tasks after it has not reported for this long.
   absl::Duration SuspectAfter = absl::Milliseconds(1500);
-  /// After its last grant a worker's tasks have certainly ended.
+  /// Time after the last grant for a worker by which its tasks have certainly
+  /// ended.
   absl::Duration LostAfter = absl::Milliseconds(6000);
-  /// Failed runs in a row, of different tasks, before a worker is kept out.
+  /// Number of consecutive failed runs, of different tasks, before a worker is
+  /// quarantined.
   int FailuresInARow = 2;
-  /// For how long at first; doubles up to KeepOutLongest.
-  absl::Duration KeepOutFirst = absl::Seconds(4);
-  absl::Duration KeepOutLongest = absl::Seconds(60);
+  /// Duration of the first quarantine; doubles with each further one up to
+  /// MaxQuarantine.
+  absl::Duration FirstQuarantine = absl::Seconds(4);
+  absl::Duration MaxQuarantine = absl::Seconds(60);
 };
 
-/// One life of a worker as the leader sees it.
+/// One incarnation of a worker as the leader sees it.
 struct WorkerView {
   endpoints::WorkerState State;
   std::string Agent;
   std::string AgentAddress;
   absl::Time LastHeard;
   int64_t Sequence = 0;
-  /// It has seen this leader's fencing token, and what earlier leaders ordered
-  /// has been settled.
+  /// It has seen this leader's fencing token, and the effect of what earlier
+  /// leaders ordered has been resolved.
   bool Fenced = false;
-  /// Its agent reaches it.
+  /// Its agent can reach it.
   bool Reachable = true;
-  /// When tasks here will have ended unless the worker is heard again.
+  /// Time by which its tasks have ended unless it reports again.
   absl::Time LostAt;
-  /// Runs that take room here, until their end is listed or ruled out.
-  std::map<RunId, core::Resources> Occupants;
+  /// Resources of the runs on the worker, held until their end is listed or
+  /// they are known not to run.
+  std::map<RunId, core::Resources> Allocations;
   core::Resources Used;
-  /// While it drains: how long it stays at least.
-  absl::Time LeavesAt = absl::InfiniteFuture();
-  /// Ends by number, and whether each is recorded.
-  std::map<int64_t, bool> Ends;
+  /// While the worker drains: the earliest time at which it shuts down.
+  absl::Time EarliestShutdown = absl::InfiniteFuture();
+  /// Ends of runs by number, and whether each has been recorded.
+  std::map<int64_t, bool> RunEnds;
+  /// All ends up to this number have been recorded.
   int64_t SeenUpto = 0;
-  int FailedInARow = 0;
-  int DoneHere = 0;
-  absl::Duration KeepOut = absl::ZeroDuration();
-  absl::Time KeptOutUntil = absl::InfinitePast();
+  int ConsecutiveFailures = 0;
+  int CompletedRuns = 0;
+  /// Duration of the latest quarantine; zero after a completed run.
+  absl::Duration QuarantineDuration = absl::ZeroDuration();
+  absl::Time QuarantinedUntil = absl::InfinitePast();
 
   core::Resources room() const {
     core::Resources r = State.Capacity;
@@ -63,59 +69,64 @@
   }
 };
 
-/// How this life of a worker ended, as report, which comes from the agent
-/// beside it, tells; nothing when it does not say that it is over.
+/// How this incarnation of a worker ended according to a report of the agent
+/// beside it. Returns nothing if the report does not say that it has ended.
 std::optional<endpoints::LifeEnd> endOf(const endpoints::WorkerReport &report,
-                                        const WorkerLife &life);
+                                        const WorkerLife &incarnation);
 
-/// The workers that report to the leader: who they are, what room they have
-/// and whether they are fit for new work. No threads, clock or sockets.
+/// The workers that report to the leader, their resources and whether new tasks
+/// may be placed on them. Uses no threads, clock or sockets.
 class Fleet {
 public:
   explicit Fleet(FleetPolicy policy) : Policy(policy) {}
 
-  /// Whether report was overtaken by one that told that its life is over.
+  /// Whether the report is outdated, because a later report has already said
+  /// that its incarnation has ended.
   bool isOvertaken(const endpoints::WorkerReport &report) const;
-  /// Takes a report's worker. Returns the lives that it ended: a new life of
-  /// the same agent's worker means that nothing of the old one runs.
+  /// Applies the state of the worker in a report. Returns the incarnations that
+  /// the report ended: a new incarnation of the worker beside the same agent
+  /// means that nothing of the old one runs any more.
   std::vector<endpoints::LifeEnd> heard(const endpoints::WorkerReport &report,
                                         absl::Time now);
-  /// Lives whose tasks have certainly ended because nobody kept them alive.
+  /// Removes and returns the incarnations whose tasks have certainly ended
+  /// because no grant keeps them alive any more.
   std::vector<WorkerLife> takeLost(absl::Time now);
 
-  WorkerView *find(const WorkerLife &life);
-  const WorkerView *find(const WorkerLife &life) const;
+  WorkerView *find(const WorkerLife &incarnation);
+  const WorkerView *find(const WorkerLife &incarnation) const;
   const std::map<WorkerLife, WorkerView> &workers() const { return Workers; }
-  /// What all known workers of the service have together.
+  /// Total capacity of all known workers of the service.
   core::Resources capacityOf(const std::string &service) const;
 
-  /// Whether new work may go to the worker.
+  /// Whether new tasks may be placed on the worker.
   bool usable(const WorkerView &worker, absl::Time now) const;
-  /// Keeps the worker out for a while, longer each time. False when it is kept
-  /// out already.
-  bool keepOut(const WorkerLife &life, absl::Time now);
-  /// Counts a run's end for keeping out workers that fail what they start.
-  /// True when the worker is kept out from now on.
-  bool recordEnd(const WorkerLife &life, bool ok, absl::Time now);
-
-  void occupy(const WorkerLife &life, const RunId &run,
-              const core::Resources &room);
-  void vacate(const WorkerLife &life, const RunId &run);
-
-  /// An end was listed; false when it was listed before.
-  bool endListed(const WorkerLife &life, int64_t number);
-  /// The end is recorded, or needs no record.
-  void endRecorded(const WorkerLife &life, int64_t number);
+  /// Quarantines the worker, for longer each time. Returns false if it is
+  /// already quarantined.
+  bool quarantine(const WorkerLife &incarnation, absl::Time now);
+  /// Counts the end of a run, to quarantine workers that fail the tasks started
+  /// on them. Returns true if the worker is quarantined from now on.
+  bool recordEnd(const WorkerLife &incarnation, bool ok, absl::Time now);
+
+  void occupy(const WorkerLife &incarnation, const RunId &run,
+              const core::Resources &resources);
+  void vacate(const WorkerLife &incarnation, const RunId &run);
+
+  /// Registers an end that the worker has listed. Returns false if it was
+  /// listed before.
+  bool endListed(const WorkerLife &incarnation, int64_t number);
+  /// Marks an end as recorded, or as not needing a record.
+  void endRecorded(const WorkerLife &incarnation, int64_t number);
 
 private:
   const FleetPolicy Policy;
   std::map<WorkerLife, WorkerView> Workers;
-  /// The latest life that ended beside an agent, and the report that told it.
-  struct ToldEnd {
+  /// The latest ended incarnation of the worker beside an agent, and the
+  /// sequence number of the report that said so.
+  struct ReportedEnd {
     WorkerLife Life;
     int64_t Sequence = 0;
   };
-  std::map<std::string, ToldEnd> ToldEnds;
+  std::map<std::string, ReportedEnd> ReportedEnds;
 };
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -8,81 +8,87 @@
 
 namespace {
 
-/// At most one worker of so many is kept free for urgent work.
-constexpr int MostKeptFree = 8;
+/// At most one of this many workers is left empty as headroom for urgent work.
+constexpr int WorkersPerHeadroomWorker = 8;
 
 } // namespace
 
 Planner::Planner(JobScheduler &scheduler, absl::Time now)
-    : S(scheduler), Now(now) {
-  for (const auto &[life, view] : S.Workers.workers())
-    if (S.Workers.usable(view, now))
-      Places.push_back({&view, view.room(), view.room(),
-                        absl::InfiniteDuration(), S.Speeds.isSlow(view.Agent),
-                        -1, view.FailedInARow > 0});
-  WholeSite.emplace_back();
-  std::map<std::string_view, int> racks;
-  for (size_t p = 0; p < Places.size(); ++p) {
-    Place &place = Places[p];
-    const auto next = static_cast<int>(Racks.size());
-    auto [rack, added] = racks.emplace(place.View->State.Rack, next);
+    : Scheduler(scheduler), Now(now) {
+  for (const auto &[incarnation, view] : Scheduler.Workers.workers())
+    if (Scheduler.Workers.usable(view, now))
+      Candidates.push_back({&view, view.room(), view.room(),
+                            absl::InfiniteDuration(),
+                            Scheduler.Speeds.isSlow(view.Agent), -1,
+                            view.ConsecutiveFailures > 0});
+  SiteDomain.emplace_back();
+  std::map<std::string_view, int> rackIndices;
+  for (size_t c = 0; c < Candidates.size(); ++c) {
+    Candidate &candidate = Candidates[c];
+    const auto next = static_cast<int>(RackDomains.size());
+    auto [rack, added] = rackIndices.emplace(candidate.View->State.Rack, next);
     if (added)
-      Racks.push_back({next});
-    place.Rack = rack->second;
-    Racks[static_cast<size_t>(place.Rack)].Members.push_back(p);
-    WholeSite.front().Members.push_back(p);
-    PlaceOf[place.View->State.Life] = p;
-    EmptyToSpare += isEmpty(place) ? 1 : 0;
+      RackDomains.push_back({next});
+    candidate.RackIndex = rack->second;
+    RackDomains[static_cast<size_t>(candidate.RackIndex)].Members.push_back(c);
+    SiteDomain.front().Members.push_back(c);
+    CandidateOf[candidate.View->State.Life] = c;
+    EmptyBeyondHeadroom += isEmpty(candidate) ? 1 : 0;
   }
-  EmptyToSpare -= workersToKeepFree();
+  EmptyBeyondHeadroom -= headroomWorkers();
 }
 
-// Room for urgent work is there at once only where nothing has to be stopped
-// for it: a stop takes up to a second, which is all that a short urgent job may
-// wait. So batch work leaves as many workers empty as the urgent jobs that come
-// while a stop takes will ask for.
-int Planner::workersToKeepFree() const {
-  int64_t widest = 0;
-  for (const Place &place : Places)
-    widest = std::max(widest, place.View->State.Capacity.Accelerators);
-  if (widest == 0)
+// Number of workers that batch work has to leave empty. Urgent work finds
+// capacity at once only where nothing has to be stopped for it: a stop takes up
+// to a second, which is all that a short urgent job can wait. The headroom
+// covers what the urgent jobs that arrive during a stop are expected to need.
+int Planner::headroomWorkers() const {
+  int64_t maxAccelerators = 0;
+  for (const Candidate &candidate : Candidates)
+    maxAccelerators =
+        std::max(maxAccelerators, candidate.View->State.Capacity.Accelerators);
+  if (maxAccelerators == 0)
     return 0;
-  const double need =
-      S.Policy.Headroom * S.Urgent.within(S.Policy.StopTakes, Now);
-  const auto workers = static_cast<int>(need / static_cast<double>(widest));
-  return std::min(workers, static_cast<int>(Places.size()) / MostKeptFree);
+  const double need = Scheduler.Policy.Headroom *
+                      Scheduler.Urgent.within(Scheduler.Policy.StopTakes, Now);
+  const auto workers =
+      static_cast<int>(need / static_cast<double>(maxAccelerators));
+  return std::min(workers, static_cast<int>(Candidates.size()) /
+                               WorkersPerHeadroomWorker);
 }
 
-void Planner::take(size_t p, const core::Resources &room) {
-  Place &place = Places[p];
-  EmptyToSpare -= isEmpty(place) ? 1 : 0;
-  place.Free -= room;
-  place.Spare -= room;
+void Planner::allocate(size_t candidateIndex,
+                       const core::Resources &resources) {
+  Candidate &candidate = Candidates[candidateIndex];
+  EmptyBeyondHeadroom -= isEmpty(candidate) ? 1 : 0;
+  candidate.Free -= resources;
+  candidate.Unreserved -= resources;
 }
 
-bool Planner::leavesHeadroom(const Unit &unit, const Layout &places) const {
+bool Planner::leavesHeadroom(const PlacementUnit &unit,
+                             const Placement &placement) const {
   if (unit.Rank <= 1)
     return true;
-  const std::set<size_t> used(places.begin(), places.end());
-  const auto empty = std::count_if(used.begin(), used.end(), [this](size_t p) {
-    return isEmpty(Places[p]);
+  const std::set<size_t> used(placement.begin(), placement.end());
+  const auto empty = std::count_if(used.begin(), used.end(), [this](size_t c) {
+    return isEmpty(Candidates[c]);
   });
-  return empty == 0 || empty <= EmptyToSpare;
+  return empty == 0 || empty <= EmptyBeyondHeadroom;
 }
 
 void Planner::run() {
-  markSuspects();
+  markRecentStarts();
   rankJobs();
   collectUnits();
-  for (Unit &unit : Units)
+  for (PlacementUnit &unit : Units)
     placeUnit(unit);
 }
 
-// Work of priority 0 counts as guaranteed, oldest first, as long as its
-// organisation's guarantee covers it.
+// Jobs of priority 0 are ranked within the guarantee, oldest first, as long as
+// the sum of their widest steps is covered by their organisation's guarantee.
 void Planner::rankJobs() {
   std::vector<Job *> urgent;
-  for (auto &[id, job] : S.Jobs) {
+  for (auto &[id, job] : Scheduler.Jobs) {
     job.Rank = job.Record.Priority + 1;
     if (!job.over() && job.Record.Priority == 0)
       urgent.push_back(&job);
@@ -94,7 +100,7 @@
   std::map<std::string, int64_t> used;
   for (Job *job : urgent) {
     const core::OrganisationConfig *org =
-        S.Config->organisation(job->Record.Spec.Organisation);
+        Scheduler.Config->organisation(job->Record.Spec.Organisation);
     int64_t need = 0;
     for (const core::StepSpec &step : job->Record.Spec.Steps)
       need = std::max(need, step.Count * step.PerTask.Accelerators);
@@ -106,37 +112,41 @@
 }
 
 void Planner::collectUnits() {
-  for (auto &[id, job] : S.Jobs) {
+  for (auto &[id, job] : Scheduler.Jobs) {
     if (job.over())
       continue;
-    const int due = S.dueOccurrences(job);
-    for (int k = 0; k < due; ++k) {
-      std::vector<JobScheduler::Step> &steps = S.occurrence(job, k);
+    const int due = Scheduler.dueOccurrences(job);
+    for (int number = 0; number < due; ++number) {
+      std::vector<JobScheduler::Step> &steps =
+          Scheduler.occurrence(job, number);
       for (size_t s = 0; s < steps.size(); ++s) {
         if (!JobScheduler::stepReady(job, steps, s))
           continue;
-        Unit unit{&job, k, static_cast<int>(s), {}, job.Rank, {}};
+        PlacementUnit unit{&job, number, static_cast<int>(s), {}, job.Rank, {}};
         collectTasks(unit, steps[s]);
       }
     }
   }
-  for (Unit &unit : Units)
-    judgeDemand(unit);
-  std::sort(Units.begin(), Units.end(), [](const Unit &a, const Unit &b) {
-    if (a.Rank != b.Rank)
-      return a.Rank < b.Rank;
-    if (a.Rank == 1 && a.Slack != b.Slack)
-      return a.Slack < b.Slack;
-    return std::tie(a.Owner->Arrived, a.Owner->Record.Spec.Id, a.Occurrence,
-                    a.Step) < std::tie(b.Owner->Arrived,
-                                       b.Owner->Record.Spec.Id, b.Occurrence,
-                                       b.Step);
-  });
+  for (PlacementUnit &unit : Units)
+    computeUrgency(unit);
+  std::sort(Units.begin(), Units.end(),
+            [](const PlacementUnit &a, const PlacementUnit &b) {
+              if (a.Rank != b.Rank)
+                return a.Rank < b.Rank;
+              if (a.Rank == 1 && a.Slack != b.Slack)
+                return a.Slack < b.Slack;
+              return std::tie(a.Owner->Arrived, a.Owner->Record.Spec.Id,
+                              a.Occurrence, a.Step) <
+                     std::tie(b.Owner->Arrived, b.Owner->Record.Spec.Id,
+                              b.Occurrence, b.Step);
+            });
 }
 
-// A gang waits until all its tasks may start. Of others, each that has failed
-// is a unit of its own, with workers of its own to avoid.
-void Planner::collectTasks(Unit &unit, const JobScheduler::Step &step) {
+// Adds the pending tasks of a step to Units. A gang is added once none of its
+// tasks is done or may still run. Of other steps, each task that failed or is
+// suspect becomes a unit of its own, with its own workers to avoid.
+void Planner::collectTasks(PlacementUnit &unit,
+                           const JobScheduler::Step &step) {
   const bool gang = unit.spec().Gang;
   for (size_t i = 0; i < step.size(); ++i) {
     const Task &task = step[i];
@@ -147,72 +157,78 @@
     } else if (gang || (task.FailedOn.empty() && !task.isSuspect())) {
       unit.Tasks.push_back(index);
     } else {
-      Unit retry{unit.Owner, unit.Occurrence, unit.Step,
-                 {index},    unit.Rank,       {}};
-      avoidFailed(retry, step);
+      PlacementUnit retry{unit.Owner, unit.Occurrence, unit.Step,
+                          {index},    unit.Rank,       {}};
+      avoidFailedWorkers(retry, step);
       Units.push_back(std::move(retry));
     }
   }
   if (unit.Tasks.empty())
     return;
   if (gang)
-    avoidFailed(unit, step);
+    avoidFailedWorkers(unit, step);
   Units.push_back(std::move(unit));
 }
 
-// A worker may fail all that it starts. With room nowhere else a task was tried
-// there again at once and again, until its attempts were used up and its job
-// had failed for good; now it waits for room at a worker that could hold it.
-// Where there is none, what fails by its own fault must still come to its end.
-void Planner::avoidFailed(Unit &unit, const JobScheduler::Step &step) const {
+// Excludes the workers where tasks of unit failed or may have crashed a worker.
+// A worker can fail everything that is started on it. When no other worker had
+// free capacity, a failed task used to be started there again at once, until
+// its attempts were used up and its job failed for good; now it waits for
+// capacity on another worker. The exclusion is lifted if the other workers
+// could not hold the unit even when empty, so that a task that fails by its own
+// fault still uses up its attempts and ends.
+void Planner::avoidFailedWorkers(PlacementUnit &unit,
+                                 const JobScheduler::Step &step) const {
   for (int index : unit.Tasks) {
     const Task &task = step[static_cast<size_t>(index)];
     const auto &crashed = task.Progress.CrashedAt;
-    unit.Avoid.insert(task.FailedOn.begin(), task.FailedOn.end());
+    unit.AvoidWorkers.insert(task.FailedOn.begin(), task.FailedOn.end());
     unit.AvoidHosts.insert(crashed.begin(), crashed.end());
-    unit.Suspect |= task.isSuspect();
+    unit.HasSuspect |= task.isSuspect();
   }
-  if (unit.Avoid.empty() && unit.AvoidHosts.empty())
+  if (unit.AvoidWorkers.empty() && unit.AvoidHosts.empty())
     return;
-  const bool elsewhere =
-      unit.spec().SameRack && unit.spec().Gang
-          ? findFitsOneRack(unit)
-          : couldHold(unit) >= static_cast<int64_t>(unit.Tasks.size());
-  if (elsewhere)
+  const bool fitsElsewhere = unit.spec().SameRack && unit.spec().Gang
+                                 ? computeCanEverFitOneRack(unit)
+                                 : taskCapacityIfEmpty(unit) >=
+                                       static_cast<int64_t>(unit.Tasks.size());
+  if (fitsElsewhere)
     return;
-  unit.Avoid.clear();
+  unit.AvoidWorkers.clear();
   unit.AvoidHosts.clear();
 }
 
-// How many of its tasks the usable workers could hold if they were empty.
-int64_t Planner::couldHold(const Unit &unit) const {
+// Number of its tasks that the usable workers could hold if they were empty.
+int64_t Planner::taskCapacityIfEmpty(const PlacementUnit &unit) const {
   const core::StepSpec &spec = unit.spec();
-  int64_t most = static_cast<int64_t>(unit.Tasks.size());
+  int64_t maxTasks = static_cast<int64_t>(unit.Tasks.size());
   if (spec.MaxPerWorker > 0)
-    most = std::min<int64_t>(most, spec.MaxPerWorker);
-  int64_t held = 0;
-  for (const Place &place : Places)
-    if (eligible(*place.View, unit))
-      held += spec.room().countIn(place.View->State.Capacity, most);
-  return held;
+    maxTasks = std::min<int64_t>(maxTasks, spec.MaxPerWorker);
+  int64_t taskCount = 0;
+  for (const Candidate &candidate : Candidates)
+    if (isEligible(*candidate.View, unit))
+      taskCount +=
+          spec.room().countIn(candidate.View->State.Capacity, maxTasks);
+  return taskCount;
 }
 
-void Planner::placeUnit(Unit &unit) {
-  findAllowed(unit);
+void Planner::placeUnit(PlacementUnit &unit) {
+  computeTaskLimits(unit);
   if (unit.spec().Gang) {
     if (!placeGang(unit))
-      blocked(unit);
+      handleBlockedUnit(unit);
     return;
   }
   placeTasks(unit);
-  if (unit.Needed > 0 && !unit.Tasks.empty())
-    blocked(unit);
+  if (unit.RequiredConcurrency > 0 && !unit.Tasks.empty())
+    handleBlockedUnit(unit);
 }
 
-bool Planner::eligible(const WorkerView &view, const Unit &unit) const {
+bool Planner::isEligible(const WorkerView &view,
+                         const PlacementUnit &unit) const {
   const endpoints::WorkerState &worker = view.State;
-  if (worker.Service != S.serviceOf(*unit.Owner) ||
-      unit.Avoid.count(worker.Life) != 0 ||
+  if (worker.Service != Scheduler.serviceOf(*unit.Owner) ||
+      unit.AvoidWorkers.count(worker.Life) != 0 ||
       unit.AvoidHosts.count(view.Agent) != 0)
     return false;
   const std::string &label = unit.spec().NeedsLabel;
@@ -220,111 +236,127 @@
                                     label) != worker.Labels.end();
 }
 
-void Planner::findAllowed(Unit &unit) const {
-  const int64_t most = unit.spec().MaxPerWorker;
-  unit.Allowed.assign(Places.size(), 0);
-  for (size_t p = 0; p < Places.size(); ++p) {
-    if (!eligible(*Places[p].View, unit) || !mayStartOn(Places[p], unit))
+void Planner::computeTaskLimits(PlacementUnit &unit) const {
+  const int64_t maxPerWorker = unit.spec().MaxPerWorker;
+  unit.TaskLimits.assign(Candidates.size(), 0);
+  for (size_t c = 0; c < Candidates.size(); ++c) {
+    if (!isEligible(*Candidates[c].View, unit) ||
+        !canStartOn(Candidates[c], unit))
       continue;
-    unit.Allowed[p] =
-        most == 0 ? unit.spec().Count
-                  : std::max<int64_t>(
-                        0, most - onWorker(unit, Places[p].View->State.Life));
+    unit.TaskLimits[c] =
+        maxPerWorker == 0
+            ? unit.spec().Count
+            : std::max<int64_t>(
+                  0, maxPerWorker - countTasksOnWorker(
+                                        unit, Candidates[c].View->State.Life));
   }
 }
 
-const core::Resources &Planner::room(const Place &place,
-                                     const Unit &unit) const {
-  const bool endsBefore =
-      absl::Milliseconds(unit.spec().EstimateMs) < place.KeptFor;
-  return endsBefore ? place.Free : place.Spare;
+const core::Resources &
+Planner::usableResources(const Candidate &candidate,
+                         const PlacementUnit &unit) const {
+  const bool endsBefore = absl::Milliseconds(unit.spec().EstimateMs) <
+                          candidate.ReservationStartsIn;
+  return endsBefore ? candidate.Free : candidate.Unreserved;
 }
 
-int Planner::onWorker(const Unit &unit, const WorkerLife &life) const {
+int Planner::countTasksOnWorker(const PlacementUnit &unit,
+                                const WorkerLife &incarnation) const {
   const JobScheduler::Step &step = unit.step();
   return static_cast<int>(
-      std::count_if(step.begin(), step.end(),
-                    [&](const Task &t) { return t.Progress.Worker == life; }));
+      std::count_if(step.begin(), step.end(), [&](const Task &t) {
+        return t.Progress.Worker == incarnation;
+      }));
 }
 
-int64_t Planner::fits(size_t p, const Unit &unit, int64_t most) const {
-  most = std::min(most, unit.Allowed[p]);
-  return most <= 0 ? 0
-                   : unit.spec().room().countIn(room(Places[p], unit), most);
+int64_t Planner::countFitting(size_t candidateIndex, const PlacementUnit &unit,
+                              int64_t maxTasks) const {
+  maxTasks = std::min(maxTasks, unit.TaskLimits[candidateIndex]);
+  return maxTasks <= 0
+             ? 0
+             : unit.spec().room().countIn(
+                   usableResources(Candidates[candidateIndex], unit), maxTasks);
 }
 
-// The sets of places that a gang may stand in: each rack, or the whole site.
-const std::vector<Planner::Group> &Planner::groups(const Unit &unit) const {
-  return unit.spec().SameRack && couldEverFitOneRack(unit) ? Racks : WholeSite;
+// The domains that a gang can be placed in: each rack, or the whole site.
+const std::vector<Planner::TopologyDomain> &
+Planner::domainsFor(const PlacementUnit &unit) const {
+  return unit.spec().SameRack && canEverFitOneRack(unit) ? RackDomains
+                                                         : SiteDomain;
 }
 
-bool Planner::couldEverFitOneRack(const Unit &unit) const {
-  if (!unit.FitsOneRack)
-    unit.FitsOneRack = findFitsOneRack(unit);
-  return *unit.FitsOneRack;
+bool Planner::canEverFitOneRack(const PlacementUnit &unit) const {
+  if (!unit.CanEverFitOneRack)
+    unit.CanEverFitOneRack = computeCanEverFitOneRack(unit);
+  return *unit.CanEverFitOneRack;
 }
 
-bool Planner::findFitsOneRack(const Unit &unit) const {
-  std::map<std::string_view, int64_t> racks;
+bool Planner::computeCanEverFitOneRack(const PlacementUnit &unit) const {
+  std::map<std::string_view, int64_t> tasksByRack;
   const core::StepSpec &spec = unit.spec();
-  int64_t most = spec.Count;
+  int64_t maxTasks = spec.Count;
   if (spec.MaxPerWorker > 0)
-    most = std::min<int64_t>(most, spec.MaxPerWorker);
-  for (const auto &[life, view] : S.Workers.workers()) {
-    if (view.State.Draining || !eligible(view, unit))
+    maxTasks = std::min<int64_t>(maxTasks, spec.MaxPerWorker);
+  for (const auto &[incarnation, view] : Scheduler.Workers.workers()) {
+    if (view.State.Draining || !isEligible(view, unit))
       continue;
-    int64_t &held = racks[view.State.Rack];
-    held += spec.room().countIn(view.State.Capacity, most);
-    if (held >= spec.Count)
+    int64_t &taskCount = tasksByRack[view.State.Rack];
+    taskCount += spec.room().countIn(view.State.Capacity, maxTasks);
+    if (taskCount >= spec.Count)
       return true;
   }
   return false;
 }
 
-int64_t Planner::slowOnes(const Layout &places) const {
-  return std::count_if(places.begin(), places.end(),
-                       [this](size_t p) { return Places[p].Slow; });
+int64_t Planner::countOnSlowWorkers(const Placement &placement) const {
+  return std::count_if(placement.begin(), placement.end(),
+                       [this](size_t c) { return Candidates[c].Slow; });
 }
 
-// Places all tasks in group, the tightest workers first, so that wide room
-// stays whole; urgent ones keep off slow workers first. A worker whose latest
-// run failed comes last of all, until one is done there: it may fail whatever
-// it starts, and each run that fails ends its whole gang. Empty when they do
-// not fit.
-std::optional<Planner::Layout> Planner::layout(const Unit &unit,
-                                               const Group &group) const {
-  std::vector<std::tuple<int, bool, bool, int64_t, size_t>> order;
-  for (size_t p : group.Members)
-    if (fits(p, unit, 1) > 0)
-      order.emplace_back(riskOf(Places[p], unit), Places[p].Doubted,
-                         wantsFast(unit) && Places[p].Slow,
-                         Places[p].Free.Accelerators, p);
-  std::sort(order.begin(), order.end());
-  Layout places;
-  for (const auto &[risk, doubted, slow, free, p] : order) {
-    const auto left = static_cast<int64_t>(unit.Tasks.size() - places.size());
-    for (int64_t n = fits(p, unit, left); n > 0; --n)
-      places.push_back(p);
-    if (places.size() == unit.Tasks.size())
-      return places;
+// Places all tasks in domain. Fills the workers with the fewest free
+// accelerators first, to keep large blocks of free capacity together; urgent
+// units prefer fast workers over that. Workers whose latest run failed come
+// last, until a run is completed there: such a worker may fail everything it
+// starts, and each failed run ends the whole gang. Returns nothing if the tasks
+// do not fit.
+std::optional<Planner::Placement>
+Planner::findPlacement(const PlacementUnit &unit,
+                       const TopologyDomain &domain) const {
+  std::vector<std::tuple<int, bool, bool, int64_t, size_t>> sorted;
+  for (size_t c : domain.Members)
+    if (countFitting(c, unit, 1) > 0)
+      sorted.emplace_back(crashRisk(Candidates[c], unit),
+                          Candidates[c].LastRunFailed,
+                          prefersFastWorkers(unit) && Candidates[c].Slow,
+                          Candidates[c].Free.Accelerators, c);
+  std::sort(sorted.begin(), sorted.end());
+  Placement placement;
+  for (const auto &[risk, lastRunFailed, slow, free, c] : sorted) {
+    const auto unplacedTasks =
+        static_cast<int64_t>(unit.Tasks.size() - placement.size());
+    for (int64_t n = countFitting(c, unit, unplacedTasks); n > 0; --n)
+      placement.push_back(c);
+    if (placement.size() == unit.Tasks.size())
+      return placement;
   }
   return std::nullopt;
 }
 
-bool Planner::placeGang(Unit &unit) {
-  std::optional<Layout> best;
-  // Smaller is better: few slow workers, little room left over.
+bool Planner::placeGang(PlacementUnit &unit) {
+  std::optional<Placement> best;
+  // Smaller is better: tasks on slow workers, then free accelerators in the
+  // domain.
   std::pair<int64_t, int64_t> bestScore;
-  for (const auto &group : groups(unit)) {
-    std::optional<Layout> places = layout(unit, group);
-    if (!places)
+  for (const auto &domain : domainsFor(unit)) {
+    std::optional<Placement> placement = findPlacement(unit, domain);
+    if (!placement)
       continue;
-    std::pair<int64_t, int64_t> score{wantsFast(unit) ? slowOnes(*places) : 0,
-                                      0};
-    for (size_t p : group.Members)
-      score.second += Places[p].Free.Accelerators;
+    std::pair<int64_t, int64_t> score{
+        prefersFastWorkers(unit) ? countOnSlowWorkers(*placement) : 0, 0};
+    for (size_t c : domain.Members)
+      score.second += Candidates[c].Free.Accelerators;
     if (!best || score < bestScore) {
-      best = std::move(places);
+      best = std::move(placement);
       bestScore = score;
     }
   }
@@ -334,10 +366,11 @@
   return true;
 }
 
-void Planner::startGang(Unit &unit, const Layout &places) {
+void Planner::startGang(PlacementUnit &unit, const Placement &placement) {
   JobScheduler::Step &step = unit.step();
-  // Members save on their own; any member's checkpoint is good for the gang,
-  // but all must start from the same one: that of the member furthest on.
+  // Members write checkpoints independently. Any member's checkpoint is valid
+  // for the gang, but all members must resume from the same one: that of the
+  // member that has progressed furthest.
   const Task *furthest = &step.front();
   int64_t run = 0;
   for (const Task &t : step) {
@@ -347,88 +380,95 @@
       furthest = &t;
   }
   const std::string saved = furthest->Progress.Saved;
-  for (size_t n = 0; n < places.size(); ++n) {
-    S.start(*unit.Owner, unit.task(unit.Tasks[n]),
-            Places[places[n]].View->State.Life, saved, run + 1, unit.Rank, Now);
-    take(places[n], unit.spec().room());
-    markBegun(places[n], unit);
+  for (size_t n = 0; n < placement.size(); ++n) {
+    Scheduler.start(*unit.Owner, unit.taskId(unit.Tasks[n]),
+                    Candidates[placement[n]].View->State.Life, saved, run + 1,
+                    unit.Rank, Now);
+    allocate(placement[n], unit.spec().room());
+    markRecentStart(placement[n], unit);
   }
-  listAgain(*unit.Owner, unit.Occurrence, unit.Step);
+  refreshRunningUnits(*unit.Owner, unit.Occurrence, unit.Step);
 }
 
-void Planner::startTask(Unit &unit, int index, size_t p) {
-  const Task &task = *S.findTask(unit.task(index));
-  S.start(*unit.Owner, unit.task(index), Places[p].View->State.Life,
-          task.Progress.Saved, task.Progress.Run + 1, unit.Rank, Now);
-  take(p, unit.spec().room());
-  markBegun(p, unit);
+void Planner::startTask(PlacementUnit &unit, int index, size_t candidateIndex) {
+  const Task &task = *Scheduler.findTask(unit.taskId(index));
+  Scheduler.start(*unit.Owner, unit.taskId(index),
+                  Candidates[candidateIndex].View->State.Life,
+                  task.Progress.Saved, task.Progress.Run + 1, unit.Rank, Now);
+  allocate(candidateIndex, unit.spec().room());
+  markRecentStart(candidateIndex, unit);
   if (unit.spec().MaxPerWorker > 0)
-    --unit.Allowed[p];
+    --unit.TaskLimits[candidateIndex];
 }
 
-std::optional<size_t> Planner::bestPlace(const Unit &unit) const {
+std::optional<size_t>
+Planner::findBestCandidate(const PlacementUnit &unit) const {
   const core::StepSpec &spec = unit.spec();
-  // Smaller is better: little at risk, near the data, trusted, fast, tight.
+  // Smaller is better: crash risk, not in the rack of the data, latest run
+  // failed, slow, free accelerators, free cores.
   using Score = std::tuple<int, bool, bool, bool, int64_t, int64_t>;
   std::optional<std::pair<Score, size_t>> best;
-  for (size_t p = 0; p < Places.size(); ++p) {
-    const Place &place = Places[p];
-    if (fits(p, unit, 1) == 0 ||
-        (unit.Rank > 1 && EmptyToSpare <= 0 && isEmpty(place)))
+  for (size_t c = 0; c < Candidates.size(); ++c) {
+    const Candidate &candidate = Candidates[c];
+    if (countFitting(c, unit, 1) == 0 ||
+        (unit.Rank > 1 && EmptyBeyondHeadroom <= 0 && isEmpty(candidate)))
       continue;
-    const bool away =
-        !spec.DataRack.empty() && place.View->State.Rack != spec.DataRack;
-    const Score score{riskOf(place, unit),
-                      away,
-                      wantsFast(unit) && place.Doubted,
-                      wantsFast(unit) && place.Slow,
-                      place.Free.Accelerators,
-                      place.Free.MilliCores};
+    const bool awayFromData =
+        !spec.DataRack.empty() && candidate.View->State.Rack != spec.DataRack;
+    const Score score{crashRisk(candidate, unit),
+                      awayFromData,
+                      prefersFastWorkers(unit) && candidate.LastRunFailed,
+                      prefersFastWorkers(unit) && candidate.Slow,
+                      candidate.Free.Accelerators,
+                      candidate.Free.MilliCores};
     if (!best || score < best->first)
-      best = {score, p};
+      best = {score, c};
   }
   if (!best)
     return std::nullopt;
   return best->second;
 }
 
-// Starts what fits; the tasks that do not are left in the unit. They are alike:
-// where one finds no place, none of the rest does.
-void Planner::placeTasks(Unit &unit) {
+// Starts the tasks that fit and leaves the others in unit. The tasks have the
+// same requirements: if one of them finds no candidate, none of the remaining
+// ones does.
+void Planner::placeTasks(PlacementUnit &unit) {
   size_t started = 0;
   for (int index : unit.Tasks) {
-    const std::optional<size_t> place = bestPlace(unit);
-    if (!place)
+    const std::optional<size_t> candidate = findBestCandidate(unit);
+    if (!candidate)
       break;
-    startTask(unit, index, *place);
+    startTask(unit, index, *candidate);
     ++started;
-    --unit.Needed;
+    --unit.RequiredConcurrency;
   }
   unit.Tasks.erase(unit.Tasks.begin(),
                    unit.Tasks.begin() + static_cast<std::ptrdiff_t>(started));
   if (started > 0)
-    listAgain(*unit.Owner, unit.Occurrence, unit.Step);
+    refreshRunningUnits(*unit.Owner, unit.Occurrence, unit.Step);
 }
 
-void Planner::blocked(Unit &unit) {
-  // Time alone may let it start: a worker that is kept out comes back.
-  S.Waits = true;
+void Planner::handleBlockedUnit(PlacementUnit &unit) {
+  // The unit may become startable without an event, for example when the
+  // quarantine of a worker ends.
+  Scheduler.Waits = true;
   if (!unit.Owner->WaitLogged) {
     unit.Owner->WaitLogged = true;
-    S.note(Decision::Kind::Waiting, unit.Owner->Record.Spec.Id,
-           core::taskName(unit.task(unit.Tasks.front())), 0, "",
-           unit.spec().Gang ? "no room for the whole gang" : "no room",
-           {{"rank", unit.Rank},
-            {"tasks", static_cast<int64_t>(unit.Tasks.size())},
-            {"accelerators_each", unit.spec().PerTask.Accelerators},
-            {"usable_workers", static_cast<int64_t>(Places.size())}});
+    Scheduler.note(
+        Decision::Kind::Waiting, unit.Owner->Record.Spec.Id,
+        core::taskName(unit.taskId(unit.Tasks.front())), 0, "",
+        unit.spec().Gang ? "no capacity for the whole gang" : "no capacity",
+        {{"rank", unit.Rank},
+         {"tasks", static_cast<int64_t>(unit.Tasks.size())},
+         {"accelerators_each", unit.spec().PerTask.Accelerators},
+         {"usable_workers", static_cast<int64_t>(Candidates.size())}});
   }
-  if (unit.Rank <= 1 && makeRoom(unit))
+  if (unit.Rank <= 1 && secureCapacity(unit))
     return;
-  // Tasks that start one by one need room for the next one only.
+  // Tasks that start one by one need capacity for the next one only.
   if (!unit.spec().Gang)
     unit.Tasks.resize(1);
-  waitForRoom(unit);
+  reserveEarliestCapacity(unit);
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/planner.h
+++ b/src/libs/jobs/planner.h
@@ -16,14 +16,16 @@
 
 namespace oriolebay::jobs {
 
-/// One pass over all that waits: which tasks start where now, what is stopped
-/// to make room, and which workers are kept free for a gang. Works on the
-/// scheduler's state and lives for one decide().
+/// One scheduling pass over all pending work. Decides which tasks start now
+/// and where, which running work is stopped to free capacity for more urgent
+/// work, and which capacity is reserved for a unit that has to wait. Works on
+/// the scheduler's state and lives for one call of decide().
 ///
-/// Order: work of priority 0 within its organisation's guarantee, other work
-/// of priority 0, then by priority and arrival. Gangs start whole. A gang that
-/// wants one rack waits for one unless no rack can ever hold it, because it
-/// would run several times as long otherwise.
+/// Units are placed in this order: work of priority 0 within its
+/// organisation's guarantee, other work of priority 0, then by priority and
+/// arrival. All tasks of a gang start together. A gang that wants to run in
+/// one rack waits for a rack, because it runs several times as long when it is
+/// spread; it is spread only if no rack can ever hold it.
 class Planner {
 public:
   Planner(JobScheduler &scheduler, absl::Time now);
@@ -33,198 +35,236 @@
   using Job = JobScheduler::Job;
   using Task = JobScheduler::Task;
 
-  /// A worker with what is free on it in this pass. Spare is what of it is not
-  /// kept for a unit that comes first. Others may still use the rest if they
-  /// are expected to end within KeptFor.
-  struct Place {
+  /// A worker that is usable in this pass, with its free resources. Candidates
+  /// are identified by their index in Candidates.
+  struct Candidate {
     /// Owned by the fleet, which does not change during a pass.
     const WorkerView *View = nullptr;
     core::Resources Free;
-    core::Resources Spare;
-    absl::Duration KeptFor = absl::InfiniteDuration();
-    /// Work takes longer there than on most workers.
+    /// The part of Free that is not reserved for a unit that comes first.
+    core::Resources Unreserved;
+    /// Time until the earliest reservation starts. Tasks that are expected to
+    /// end before then may use the reserved part too (backfilling).
+    absl::Duration ReservationStartsIn = absl::InfiniteDuration();
+    /// Tasks take longer there than on most workers.
     bool Slow = false;
-    int Rack = -1;
-    /// Its latest run failed, and none has been done there since.
-    bool Doubted = false;
-    /// A run began there, or may yet, so lately that a crash may be its doing.
-    bool JustBegun = false;
-    /// One of those is a suspect's: nothing else starts there until the worker
-    /// has outlived it, so that a crash tells whose doing it is.
-    bool HoldsSuspect = false;
+    /// Index of its rack in RackDomains.
+    int RackIndex = -1;
+    /// Its latest run failed, and no run has been completed there since.
+    bool LastRunFailed = false;
+    /// A run began there, or may still begin, so recently that it could be the
+    /// cause if the worker crashed now.
+    bool HasRecentStart = false;
+    /// One of the recent starts is of a suspect task. Nothing else starts there
+    /// until the worker has survived it, so that a crash has one possible
+    /// cause.
+    bool HasRecentSuspectStart = false;
   };
-  /// What is placed as one: a gang, or the ready tasks of a step one by one.
-  struct Unit {
+  /// Pending tasks that are placed as one: a whole gang, or the ready tasks of
+  /// a step, which are placed one by one.
+  struct PlacementUnit {
     Job *Owner = nullptr;
     int Occurrence = 0;
     int Step = 0;
     std::vector<int> Tasks;
-    /// 0: within a guarantee; 1: other work of priority 0; then priority + 1.
+    /// Scheduling class; lower goes first. 0: within a guarantee; 1: other work
+    /// of priority 0; otherwise the priority + 1.
     int Rank = 0;
-    /// Workers where it failed, while others could hold it.
-    std::set<WorkerLife> Avoid;
-    /// A task of it may have crashed its worker: it is tried where nothing else
-    /// has just begun, rather on an empty worker, and not again on AvoidHosts
-    /// (by agent) while others could hold it.
-    bool Suspect = false;
+    /// Workers where a task of it failed. Empty when the other workers could
+    /// not hold it.
+    std::set<WorkerLife> AvoidWorkers;
+    /// A task of it may have crashed its worker. It starts only on workers
+    /// without a recent start, preferably on an empty one.
+    bool HasSuspect = false;
+    /// Hosts (by agent) where its tasks may have crashed a worker. Empty when
+    /// the other hosts could not hold it.
     std::set<std::string> AvoidHosts = {};
-    /// How long it may wait for its job to be in time still. Least first among
-    /// other work of priority 0.
+    /// How long it can wait before its job misses its deadline. Other work of
+    /// priority 0 is placed by least slack first.
     absl::Duration Slack = absl::ZeroDuration();
-    /// So many of its tasks have to run at the same time, from now or from when
-    /// the slack is used up, for its job to be in time; the rest can follow
-    /// them.
-    int Needed = 0;
-    /// By place: how many more of its tasks may stand there, whatever the room;
-    /// zero where it may not stand at all. Filled in when it is placed.
-    std::vector<int64_t> Allowed = {};
-    /// Whether one rack could hold all of it if that were empty; looked up
-    /// once.
-    mutable std::optional<bool> FitsOneRack = std::nullopt;
+    /// Number of its tasks that must run at the same time, from now or from
+    /// the end of the slack, for its job to meet the deadline. The other tasks
+    /// can follow on the same resources.
+    int RequiredConcurrency = 0;
+    /// By candidate: how many more of its tasks may be placed there, regardless
+    /// of free resources; 0 where none may be placed. Filled in when the unit
+    /// is placed.
+    std::vector<int64_t> TaskLimits = {};
+    /// Whether an empty rack could hold all of it; computed on first use.
+    mutable std::optional<bool> CanEverFitOneRack = std::nullopt;
 
     const core::StepSpec &spec() const {
       return Owner->Record.Spec.Steps[static_cast<size_t>(Step)];
     }
-    JobScheduler::Step &step() const { return Owner->stepOf(task(0)); }
-    core::TaskId task(int index) const {
+    JobScheduler::Step &step() const { return Owner->stepOf(taskId(0)); }
+    core::TaskId taskId(int index) const {
       return {Owner->Record.Spec.Id, Occurrence, Step, index};
     }
   };
-  /// The place of each of a gang's tasks.
-  using Layout = std::vector<size_t>;
-  /// Places that a gang may stand in: those of one rack, or all.
-  struct Group {
-    /// Negative for all.
-    int Rack = -1;
+  /// The candidate for each task of a gang.
+  using Placement = std::vector<size_t>;
+  /// Candidates that a gang may be placed on together: those of one rack, or
+  /// all.
+  struct TopologyDomain {
+    /// Index of the rack; negative for the whole site.
+    int RackIndex = -1;
     std::vector<size_t> Members = {};
   };
-  using RoomByPlace = std::map<size_t, core::Resources>;
-  /// Running work whose end would give room: what it frees, and what its end
-  /// costs (work thrown away by a stop) or how long it takes by itself.
-  struct Release {
+  using ResourcesByCandidate = std::map<size_t, core::Resources>;
+  /// A running task, or a running gang as a whole, whose end would free
+  /// resources.
+  struct RunningUnit {
     Job *Owner = nullptr;
     int Occurrence = 0;
     int Step = 0;
-    /// The task, or -1 for a whole gang.
+    /// Index of the task in its step, or -1 for a whole gang.
     int Index = -1;
     int Rank = 0;
-    double Waste = 0;
-    absl::Duration Left = absl::ZeroDuration();
-    /// All of it is being stopped.
+    /// Work lost if it is stopped, in core-seconds.
+    double LostWork = 0;
+    /// Expected time until it ends if it is not stopped.
+    absl::Duration TimeLeft = absl::ZeroDuration();
+    /// Its stop has been requested, for a gang that of all its tasks.
     bool Stopping = true;
-    /// Each place once.
-    std::vector<std::pair<size_t, core::Resources>> Frees = {};
+    /// Lists each candidate once.
+    std::vector<std::pair<size_t, core::Resources>> FreedResources = {};
   };
-  using Releases = std::vector<const Release *>;
-  /// Releases in the order in which a plan takes them.
-  struct Order {
-    Releases All;
-    /// Those that free something there, by rack.
-    std::vector<Releases> ByRack;
+  using RunningUnitList = std::vector<const RunningUnit *>;
+  /// Running units in the order in which a plan picks them.
+  struct SortedUnits {
+    RunningUnitList All;
+    /// By rack: the units that free resources there.
+    std::vector<RunningUnitList> ByRack;
 
-    const Releases &of(const Group &group) const {
-      return group.Rack < 0 ? All : ByRack[static_cast<size_t>(group.Rack)];
+    const RunningUnitList &inDomain(const TopologyDomain &domain) const {
+      return domain.RackIndex < 0
+                 ? All
+                 : ByRack[static_cast<size_t>(domain.RackIndex)];
     }
   };
-  /// Where a gang will stand once the releases have come.
-  struct Plan {
-    Layout Places;
-    RoomByPlace Freed;
-    std::vector<const Release *> Ends;
-    double Waste = 0;
+  /// Where a unit can be placed once certain running units have ended.
+  struct CapacityPlan {
+    Placement TargetPlacement;
+    ResourcesByCandidate FreedByCandidate;
+    std::vector<const RunningUnit *> EndingUnits;
+    /// Work lost if the ending units are stopped, in core-seconds.
+    double LostWork = 0;
+    /// Expected time until all of them have ended without a stop.
     absl::Duration Wait = absl::ZeroDuration();
   };
 
   void collectUnits();
-  void collectTasks(Unit &unit, const JobScheduler::Step &step);
-  void avoidFailed(Unit &unit, const JobScheduler::Step &step) const;
-  void markSuspects();
-  void markBegun(size_t place, const Unit &unit);
-  bool mayStartOn(const Place &place, const Unit &unit) const;
-  /// Smaller is better.
-  int riskOf(const Place &place, const Unit &unit) const;
-  int64_t couldHold(const Unit &unit) const;
+  void collectTasks(PlacementUnit &unit, const JobScheduler::Step &step);
+  void avoidFailedWorkers(PlacementUnit &unit,
+                          const JobScheduler::Step &step) const;
+  void markRecentStarts();
+  void markRecentStart(size_t candidateIndex, const PlacementUnit &unit);
+  bool canStartOn(const Candidate &candidate, const PlacementUnit &unit) const;
+  /// What the start of a suspect task would put at risk: other work on the
+  /// worker, and its own job if the host crashes workers by itself. 0 for other
+  /// units; smaller is better.
+  int crashRisk(const Candidate &candidate, const PlacementUnit &unit) const;
+  int64_t taskCapacityIfEmpty(const PlacementUnit &unit) const;
   void rankJobs();
-  void placeUnit(Unit &unit);
-  bool placeGang(Unit &unit);
-  int workersToKeepFree() const;
-  bool isEmpty(const Place &place) const {
-    return place.Free == place.View->State.Capacity;
+  void placeUnit(PlacementUnit &unit);
+  bool placeGang(PlacementUnit &unit);
+  int headroomWorkers() const;
+  bool isEmpty(const Candidate &candidate) const {
+    return candidate.Free == candidate.View->State.Capacity;
   }
-  void take(size_t place, const core::Resources &room);
-  bool leavesHeadroom(const Unit &unit, const Layout &places) const;
-  std::optional<size_t> bestPlace(const Unit &unit) const;
-  void placeTasks(Unit &unit);
-  void blocked(Unit &unit);
-  bool isLarge(const Unit &unit) const;
+  void allocate(size_t candidateIndex, const core::Resources &resources);
+  bool leavesHeadroom(const PlacementUnit &unit,
+                      const Placement &placement) const;
+  std::optional<size_t> findBestCandidate(const PlacementUnit &unit) const;
+  void placeTasks(PlacementUnit &unit);
+  void handleBlockedUnit(PlacementUnit &unit);
+  bool isLarge(const PlacementUnit &unit) const;
 
-  bool eligible(const WorkerView &worker, const Unit &unit) const;
-  void findAllowed(Unit &unit) const;
-  const core::Resources &room(const Place &place, const Unit &unit) const;
-  int64_t fits(size_t place, const Unit &unit, int64_t most) const;
-  int onWorker(const Unit &unit, const WorkerLife &life) const;
-  const std::vector<Group> &groups(const Unit &unit) const;
-  bool wantsFast(const Unit &unit) const { return unit.Rank <= 1; }
-  int64_t slowOnes(const Layout &places) const;
-  std::optional<Layout> layout(const Unit &unit, const Group &group) const;
-  bool couldEverFitOneRack(const Unit &unit) const;
-  bool findFitsOneRack(const Unit &unit) const;
-  void startGang(Unit &unit, const Layout &places);
-  void startTask(Unit &unit, int index, size_t place);
+  bool isEligible(const WorkerView &worker, const PlacementUnit &unit) const;
+  void computeTaskLimits(PlacementUnit &unit) const;
+  /// The candidate's resources that unit may use: all that is free if it is
+  /// expected to end before the reservation starts, else the unreserved part.
+  const core::Resources &usableResources(const Candidate &candidate,
+                                         const PlacementUnit &unit) const;
+  int64_t countFitting(size_t candidateIndex, const PlacementUnit &unit,
+                       int64_t maxTasks) const;
+  int countTasksOnWorker(const PlacementUnit &unit,
+                         const WorkerLife &incarnation) const;
+  const std::vector<TopologyDomain> &
+  domainsFor(const PlacementUnit &unit) const;
+  bool prefersFastWorkers(const PlacementUnit &unit) const {
+    return unit.Rank <= 1;
+  }
+  int64_t countOnSlowWorkers(const Placement &placement) const;
+  std::optional<Placement> findPlacement(const PlacementUnit &unit,
+                                         const TopologyDomain &domain) const;
+  bool canEverFitOneRack(const PlacementUnit &unit) const;
+  bool computeCanEverFitOneRack(const PlacementUnit &unit) const;
+  void startGang(PlacementUnit &unit, const Placement &placement);
+  void startTask(PlacementUnit &unit, int index, size_t candidateIndex);
 
-  void listRunning();
-  void addReleases(Job &job, int occurrence, int step);
-  void listAgain(Job &job, int occurrence, int step);
-  Order orderOf(Releases all) const;
-  const Order &stoppable(const Unit &unit);
-  const Order &byEnd();
-  bool inGroup(size_t place, const Unit &unit, const Group &group) const;
-  std::optional<Plan> planWith(const Unit &unit, const Group &group,
-                               const Releases &releases);
-  int64_t applyRelease(const Unit &unit, const Group &group,
-                       const Release &release, int sign);
-  void prune(const Unit &unit, const Group &group, int64_t fit, Plan &plan);
+  void collectRunningUnits();
+  void addRunningUnits(Job &job, int occurrence, int step);
+  void refreshRunningUnits(Job &job, int occurrence, int step);
+  SortedUnits indexByRack(RunningUnitList all) const;
+  const SortedUnits &stoppableUnits(const PlacementUnit &unit);
+  const SortedUnits &unitsByEnd();
+  bool isUsableInDomain(size_t candidateIndex, const PlacementUnit &unit,
+                        const TopologyDomain &domain) const;
+  std::optional<CapacityPlan> planInDomain(const PlacementUnit &unit,
+                                           const TopologyDomain &domain,
+                                           const RunningUnitList &runningUnits);
+  int64_t applyRelease(const PlacementUnit &unit, const TopologyDomain &domain,
+                       const RunningUnit &runningUnit, int sign);
+  void pruneEndingUnits(const PlacementUnit &unit, const TopologyDomain &domain,
+                        int64_t fitting, CapacityPlan &plan);
   template <class Cost>
-  std::optional<Plan> leastPlan(const Unit &unit, const Order &order,
-                                Cost Plan::*cost);
-  std::optional<Plan> cheapestStops(const Unit &unit);
-  std::optional<Plan> firstEnds(const Unit &unit);
-  bool guaranteeAtRisk(const Unit &unit, const std::optional<Plan> &ends) const;
-  double mostWaste(const Unit &unit) const;
-  bool worthStopping(const Unit &unit, const Plan &stops,
-                     const std::optional<Plan> &ends) const;
-  void judgeDemand(Unit &unit) const;
-  void demandOfTasks(Unit &unit, absl::Duration left,
-                     absl::Duration each) const;
-  bool inTimeAnyway(const Unit &unit, const std::optional<Plan> &ends) const;
-  bool makeRoom(Unit &unit);
-  void notePlan(const Unit &unit, const char *outcome, const Plan *plan);
-  void askForStops(const Unit &unit, const Plan &stops);
-  int mostKept() const;
-  void waitForRoom(Unit &unit);
-  void keep(const Unit &unit, const Plan &plan);
-  double wasteOf(const core::StepSpec &spec, const Task &task) const;
+  std::optional<CapacityPlan> findBestPlan(const PlacementUnit &unit,
+                                           const SortedUnits &sortedUnits,
+                                           Cost CapacityPlan::*cost);
+  std::optional<CapacityPlan> findStopPlan(const PlacementUnit &unit);
+  std::optional<CapacityPlan> findWaitPlan(const PlacementUnit &unit);
+  bool isGuaranteeAtRisk(const PlacementUnit &unit,
+                         const std::optional<CapacityPlan> &waitPlan) const;
+  double maxLostWork(const PlacementUnit &unit) const;
+  bool isWorthStopping(const PlacementUnit &unit, const CapacityPlan &stopPlan,
+                       const std::optional<CapacityPlan> &waitPlan) const;
+  void computeUrgency(PlacementUnit &unit) const;
+  void computeRequiredConcurrency(PlacementUnit &unit, absl::Duration timeLeft,
+                                  absl::Duration taskDuration) const;
+  bool isInTimeWithoutStops(const PlacementUnit &unit,
+                            const std::optional<CapacityPlan> &waitPlan) const;
+  bool secureCapacity(PlacementUnit &unit);
+  void logCapacityPlan(const PlacementUnit &unit, const char *outcome,
+                       const CapacityPlan *plan);
+  void requestStops(const PlacementUnit &unit, const CapacityPlan &stopPlan);
+  int maxReservations() const;
+  void reserveEarliestCapacity(PlacementUnit &unit);
+  void reserve(const PlacementUnit &unit, const CapacityPlan &plan);
+  double workLostByStop(const core::StepSpec &spec, const Task &task) const;
 
-  JobScheduler &S;
+  JobScheduler &Scheduler;
   const absl::Time Now;
-  std::vector<Place> Places;
-  absl::flat_hash_map<WorkerLife, size_t> PlaceOf;
-  /// The places of each rack, and all places as the one group.
-  std::vector<Group> Racks;
-  std::vector<Group> WholeSite;
-  /// Workers on which nothing runs, less those that are kept free for urgent
-  /// work.
-  int EmptyToSpare = 0;
-  std::vector<Unit> Units;
-  /// All that runs, once a unit had to wait; kept up to date from then on, as
-  /// listing it takes longer than all else in a pass.
-  std::deque<Release> Running;
-  bool RunningListed = false;
-  /// Orders of what is listed, until that changes; those for stops by the rank
-  /// that they are made for.
-  std::optional<Order> EndOrder;
-  std::map<int, Order> StopOrders;
-  int Kept = 0;
+  std::vector<Candidate> Candidates;
+  absl::flat_hash_map<WorkerLife, size_t> CandidateOf;
+  /// The candidates of each rack.
+  std::vector<TopologyDomain> RackDomains;
+  /// All candidates as the only domain.
+  std::vector<TopologyDomain> SiteDomain;
+  /// Number of empty workers beyond the headroom for urgent work.
+  int EmptyBeyondHeadroom = 0;
+  std::vector<PlacementUnit> Units;
+  /// All running units. Collected when a unit has to wait for the first time
+  /// and kept up to date from then on, because collecting them takes longer
+  /// than everything else in a pass.
+  std::deque<RunningUnit> RunningUnits;
+  bool RunningUnitsCollected = false;
+  /// Sorted views of RunningUnits, valid until it changes; those for stops by
+  /// the rank of the unit that others are stopped for.
+  std::optional<SortedUnits> CachedUnitsByEnd;
+  std::map<int, SortedUnits> CachedStoppableUnits;
+  /// Number of reservations made by reserveEarliestCapacity().
+  int ReservationCount = 0;
 };
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/planner_room.cpp
+++ b/src/libs/jobs/planner_room.cpp
@@ -1,5 +1,6 @@
-// How the planner makes room: what running work would free and what its end
-// throws away, which of it is stopped for a unit that waits, and what is kept.
+// How the planner obtains capacity for a unit that has to wait: what running
+// work would free and what its end would lose, which of it is stopped, and
+// which capacity is reserved.
 #include "planner.h"
 
 #include "runjudge.h"
@@ -11,408 +12,464 @@
 
 namespace {
 
-/// A task that follows another in its room is counted with so many times its
-/// expected work, as tasks of a step differ and some workers are slower by 1.3
-/// times, and with the time from the one's end to the other's start.
+/// Expected time of a task that runs after another one on the same resources:
+/// the expected task duration times RoundMargin, because the tasks of a step
+/// differ and some workers are slower by 1.3 times, plus RoundOverhead for the
+/// time from the end of one task to the start of the next.
 constexpr double RoundMargin = 1.25;
 constexpr absl::Duration RoundOverhead = absl::Milliseconds(100);
-/// An accelerator weighs as much as so many cores when work is thrown away.
+/// Number of cores that an accelerator counts as in lost work.
 constexpr double CoresPerAccelerator = 8;
 
-double weight(const core::Resources &r) {
+double coreEquivalents(const core::Resources &r) {
   return static_cast<double>(r.MilliCores) / 1000 +
          CoresPerAccelerator * static_cast<double>(r.Accelerators);
 }
 
 } // namespace
 
-// Small tasks find room as others end; keeping it would only hold others up.
-bool Planner::isLarge(const Unit &unit) const {
-  int64_t widest = 0;
-  for (const auto &[life, view] : S.Workers.workers())
-    widest = std::max(widest, view.State.Capacity.Accelerators);
+// Only large units get reservations. Small ones fit in as other tasks end;
+// reserving capacity for them would only delay other work.
+bool Planner::isLarge(const PlacementUnit &unit) const {
+  int64_t maxAccelerators = 0;
+  for (const auto &[incarnation, view] : Scheduler.Workers.workers())
+    maxAccelerators =
+        std::max(maxAccelerators, view.State.Capacity.Accelerators);
   const auto n = static_cast<int64_t>(unit.Tasks.size());
-  return n * unit.spec().PerTask.Accelerators * 2 > widest;
+  return n * unit.spec().PerTask.Accelerators * 2 > maxAccelerators;
 }
 
-// What a stop throws away, in core-seconds: all work, or, as a stop makes a
-// checkpoint, the time to go on from it.
-double Planner::wasteOf(const core::StepSpec &spec, const Task &task) const {
+// Work lost by a stop, in core-seconds: all of it, or for a task that writes a
+// checkpoint when it is stopped, at most the time to restore the checkpoint.
+double Planner::workLostByStop(const core::StepSpec &spec,
+                               const Task &task) const {
   if (task.StopAsked || task.Progress.Done ||
       task.Began == absl::InfinitePast())
     return 0;
   double lost = absl::ToDoubleSeconds(Now - task.Began);
   if (spec.Checkpoints)
-    lost = std::min(lost, absl::ToDoubleSeconds(S.Policy.Progress.Restore));
-  return lost * weight(spec.PerTask);
+    lost = std::min(lost,
+                    absl::ToDoubleSeconds(Scheduler.Policy.Progress.Restore));
+  return lost * coreEquivalents(spec.PerTask);
 }
 
-void Planner::addReleases(Job &job, int occurrence, int step) {
+// Adds the running tasks of a step, or its running gang, to RunningUnits.
+void Planner::addRunningUnits(Job &job, int occurrence, int step) {
   const core::StepSpec &spec = job.Record.Spec.Steps[static_cast<size_t>(step)];
   const JobScheduler::Step &tasks =
       job.Occurrences.at(occurrence)[static_cast<size_t>(step)];
-  Release gang{&job, occurrence, step, -1, job.Rank};
-  RoomByPlace gangFrees;
+  RunningUnit gang{&job, occurrence, step, -1, job.Rank};
+  ResourcesByCandidate freedByGang;
   core::TaskId id{job.Record.Spec.Id, occurrence, step, 0};
   for (size_t i = 0; i < tasks.size(); ++i) {
     const Task &t = tasks[i];
     if (!t.mayRun())
       continue;
     id.Index = static_cast<int>(i);
-    const double waste = wasteOf(spec, t);
-    const absl::Duration left = t.StopAsked
-                                    ? S.Policy.StopTakes
-                                    : RunJudge(S, Now).remaining(job, id, t);
-    auto place = PlaceOf.find(t.Progress.Worker);
+    const double lostWork = workLostByStop(spec, t);
+    const absl::Duration timeLeft =
+        t.StopAsked ? Scheduler.Policy.StopTakes
+                    : RunJudge(Scheduler, Now).remainingTime(job, id, t);
+    auto candidate = CandidateOf.find(t.Progress.Worker);
     if (spec.Gang) {
-      gang.Waste += waste;
-      gang.Left = std::max(gang.Left, left);
+      gang.LostWork += lostWork;
+      gang.TimeLeft = std::max(gang.TimeLeft, timeLeft);
       gang.Stopping = gang.Stopping && t.StopAsked;
-      if (place != PlaceOf.end())
-        gangFrees[place->second] += spec.room();
-    } else if (place != PlaceOf.end()) {
-      Running.push_back({&job,
-                         occurrence,
-                         step,
-                         id.Index,
-                         job.Rank,
-                         waste,
-                         left,
-                         t.StopAsked,
-                         {{place->second, spec.room()}}});
+      if (candidate != CandidateOf.end())
+        freedByGang[candidate->second] += spec.room();
+    } else if (candidate != CandidateOf.end()) {
+      RunningUnits.push_back({&job,
+                              occurrence,
+                              step,
+                              id.Index,
+                              job.Rank,
+                              lostWork,
+                              timeLeft,
+                              t.StopAsked,
+                              {{candidate->second, spec.room()}}});
     }
   }
-  if (gangFrees.empty())
+  if (freedByGang.empty())
     return;
-  gang.Frees.assign(gangFrees.begin(), gangFrees.end());
-  Running.push_back(std::move(gang));
+  gang.FreedResources.assign(freedByGang.begin(), freedByGang.end());
+  RunningUnits.push_back(std::move(gang));
 }
 
-void Planner::listRunning() {
-  if (RunningListed)
+void Planner::collectRunningUnits() {
+  if (RunningUnitsCollected)
     return;
-  RunningListed = true;
-  for (auto &[id, job] : S.Jobs)
+  RunningUnitsCollected = true;
+  for (auto &[id, job] : Scheduler.Jobs)
     for (auto &[number, steps] : job.Occurrences)
       for (size_t s = 0; s < steps.size(); ++s)
-        addReleases(job, number, static_cast<int>(s));
+        addRunningUnits(job, number, static_cast<int>(s));
 }
 
-// Some of the step's tasks were started, or asked to stop.
-void Planner::listAgain(Job &job, int occurrence, int step) {
-  if (!RunningListed)
+// Updates RunningUnits after tasks of the step were started or asked to stop.
+void Planner::refreshRunningUnits(Job &job, int occurrence, int step) {
+  if (!RunningUnitsCollected)
     return;
-  EndOrder.reset();
-  StopOrders.clear();
-  Running.erase(std::remove_if(Running.begin(), Running.end(),
-                               [&](const Release &r) {
-                                 return r.Owner == &job &&
-                                        r.Occurrence == occurrence &&
-                                        r.Step == step;
-                               }),
-                Running.end());
-  addReleases(job, occurrence, step);
+  CachedUnitsByEnd.reset();
+  CachedStoppableUnits.clear();
+  RunningUnits.erase(std::remove_if(RunningUnits.begin(), RunningUnits.end(),
+                                    [&](const RunningUnit &r) {
+                                      return r.Owner == &job &&
+                                             r.Occurrence == occurrence &&
+                                             r.Step == step;
+                                    }),
+                     RunningUnits.end());
+  addRunningUnits(job, occurrence, step);
 }
 
-Planner::Order Planner::orderOf(Releases all) const {
-  Order order;
-  order.ByRack.resize(Racks.size());
-  for (const Release *r : all) {
-    for (const auto &[p, freed] : r->Frees) {
-      auto &ofRack = order.ByRack[static_cast<size_t>(Places[p].Rack)];
+// Keeps the order of the running units in the lists by rack.
+Planner::SortedUnits Planner::indexByRack(RunningUnitList all) const {
+  SortedUnits sorted;
+  sorted.ByRack.resize(RackDomains.size());
+  for (const RunningUnit *r : all) {
+    for (const auto &[c, freed] : r->FreedResources) {
+      auto &ofRack =
+          sorted.ByRack[static_cast<size_t>(Candidates[c].RackIndex)];
       if (ofRack.empty() || ofRack.back() != r)
         ofRack.push_back(r);
     }
   }
-  order.All = std::move(all);
-  return order;
+  sorted.All = std::move(all);
+  return sorted;
 }
 
-// Work that comes after unit and could be stopped for it: what is being stopped
-// anyway first, then the cheapest, the least urgent of those first.
-const Planner::Order &Planner::stoppable(const Unit &unit) {
-  listRunning();
-  auto known = StopOrders.find(unit.Rank);
-  if (known != StopOrders.end())
-    return known->second;
-  Releases all;
-  for (const Release &r : Running)
+// Running work that can be stopped for unit: units that are already being
+// stopped and those of a lower class than unit. Sorted by lost work, so that
+// units that are being stopped come first, then the least urgent first.
+const Planner::SortedUnits &Planner::stoppableUnits(const PlacementUnit &unit) {
+  collectRunningUnits();
+  auto cached = CachedStoppableUnits.find(unit.Rank);
+  if (cached != CachedStoppableUnits.end())
+    return cached->second;
+  RunningUnitList all;
+  for (const RunningUnit &r : RunningUnits)
     if (r.Stopping || r.Rank > unit.Rank)
       all.push_back(&r);
   std::stable_sort(all.begin(), all.end(),
-                   [](const Release *a, const Release *b) {
-                     return std::make_pair(a->Waste, -a->Rank) <
-                            std::make_pair(b->Waste, -b->Rank);
+                   [](const RunningUnit *a, const RunningUnit *b) {
+                     return std::make_pair(a->LostWork, -a->Rank) <
+                            std::make_pair(b->LostWork, -b->Rank);
                    });
-  return StopOrders.emplace(unit.Rank, orderOf(std::move(all))).first->second;
+  return CachedStoppableUnits.emplace(unit.Rank, indexByRack(std::move(all)))
+      .first->second;
 }
 
-// All that runs, in the order in which it is expected to end.
-const Planner::Order &Planner::byEnd() {
-  listRunning();
-  if (EndOrder)
-    return *EndOrder;
-  Releases all;
-  for (const Release &r : Running)
+// All running units, sorted by their expected end.
+const Planner::SortedUnits &Planner::unitsByEnd() {
+  collectRunningUnits();
+  if (CachedUnitsByEnd)
+    return *CachedUnitsByEnd;
+  RunningUnitList all;
+  for (const RunningUnit &r : RunningUnits)
     all.push_back(&r);
-  std::stable_sort(
-      all.begin(), all.end(),
-      [](const Release *a, const Release *b) { return a->Left < b->Left; });
-  EndOrder = orderOf(std::move(all));
-  return *EndOrder;
+  std::stable_sort(all.begin(), all.end(),
+                   [](const RunningUnit *a, const RunningUnit *b) {
+                     return a->TimeLeft < b->TimeLeft;
+                   });
+  CachedUnitsByEnd = indexByRack(std::move(all));
+  return *CachedUnitsByEnd;
 }
 
-bool Planner::inGroup(size_t p, const Unit &unit, const Group &group) const {
-  return unit.Allowed[p] > 0 &&
-         (group.Rack < 0 || Places[p].Rack == group.Rack);
+bool Planner::isUsableInDomain(size_t candidateIndex, const PlacementUnit &unit,
+                               const TopologyDomain &domain) const {
+  return unit.TaskLimits[candidateIndex] > 0 &&
+         (domain.RackIndex < 0 ||
+          Candidates[candidateIndex].RackIndex == domain.RackIndex);
 }
 
-// Adds what release frees within group (sign 1), or takes it away again (-1).
-// Returns by how many more of unit's tasks fit there.
-int64_t Planner::applyRelease(const Unit &unit, const Group &group,
-                              const Release &release, int sign) {
-  const auto most = static_cast<int64_t>(unit.Tasks.size());
-  int64_t more = 0;
-  for (const auto &[p, freed] : release.Frees) {
-    if (!inGroup(p, unit, group))
+// Adds the resources that runningUnit frees in domain to the candidates (sign
+// 1), or takes them away again (sign -1). Returns the change in the number of
+// unit's tasks that fit there.
+int64_t Planner::applyRelease(const PlacementUnit &unit,
+                              const TopologyDomain &domain,
+                              const RunningUnit &runningUnit, int sign) {
+  const auto maxTasks = static_cast<int64_t>(unit.Tasks.size());
+  int64_t additional = 0;
+  for (const auto &[c, freed] : runningUnit.FreedResources) {
+    if (!isUsableInDomain(c, unit, domain))
       continue;
-    more -= fits(p, unit, most);
-    Place &place = Places[p];
+    additional -= countFitting(c, unit, maxTasks);
+    Candidate &candidate = Candidates[c];
     if (sign > 0) {
-      place.Spare += freed;
-      place.Free += freed;
+      candidate.Unreserved += freed;
+      candidate.Free += freed;
     } else {
-      place.Spare -= freed;
-      place.Free -= freed;
+      candidate.Unreserved -= freed;
+      candidate.Free -= freed;
     }
-    more += fits(p, unit, most);
+    additional += countFitting(c, unit, maxTasks);
   }
-  return more;
+  return additional;
 }
 
-// Takes releases in their order until unit fits into group.
-std::optional<Planner::Plan>
-Planner::planWith(const Unit &unit, const Group &group, const Releases &all) {
+// Picks running units in the given order until unit fits into domain. Returns
+// nothing if it does not fit even when all of them have ended. Leaves the
+// candidates unchanged.
+std::optional<Planner::CapacityPlan>
+Planner::planInDomain(const PlacementUnit &unit, const TopologyDomain &domain,
+                      const RunningUnitList &runningUnits) {
   const auto n = static_cast<int64_t>(unit.Tasks.size());
-  int64_t fit = 0;
-  for (size_t p : group.Members)
-    fit += fits(p, unit, n);
-  Plan plan;
-  for (const Release *r : all) {
-    if (fit >= n)
+  int64_t fitting = 0;
+  for (size_t c : domain.Members)
+    fitting += countFitting(c, unit, n);
+  CapacityPlan plan;
+  for (const RunningUnit *r : runningUnits) {
+    if (fitting >= n)
       break;
-    const bool useful =
-        std::any_of(r->Frees.begin(), r->Frees.end(), [&](const auto &f) {
-          return inGroup(f.first, unit, group);
-        });
+    const bool useful = std::any_of(
+        r->FreedResources.begin(), r->FreedResources.end(),
+        [&](const auto &f) { return isUsableInDomain(f.first, unit, domain); });
     if (!useful)
       continue;
-    fit += applyRelease(unit, group, *r, 1);
-    plan.Ends.push_back(r);
+    fitting += applyRelease(unit, domain, *r, 1);
+    plan.EndingUnits.push_back(r);
   }
-  const bool found = fit >= n;
+  const bool found = fitting >= n;
   if (found) {
-    prune(unit, group, fit, plan);
-    plan.Places = *layout(unit, group);
+    pruneEndingUnits(unit, domain, fitting, plan);
+    plan.TargetPlacement = *findPlacement(unit, domain);
   }
-  for (const Release *r : plan.Ends) {
-    applyRelease(unit, group, *r, -1);
-    plan.Waste += r->Waste;
-    plan.Wait = std::max(plan.Wait, r->Left);
-    for (const auto &[p, freed] : r->Frees)
-      plan.Freed[p] += freed;
+  for (const RunningUnit *r : plan.EndingUnits) {
+    applyRelease(unit, domain, *r, -1);
+    plan.LostWork += r->LostWork;
+    plan.Wait = std::max(plan.Wait, r->TimeLeft);
+    for (const auto &[c, freed] : r->FreedResources)
+      plan.FreedByCandidate[c] += freed;
   }
   if (!found)
     return std::nullopt;
   return plan;
 }
 
-// Drops releases that turned out not to be needed, the dearest first.
-void Planner::prune(const Unit &unit, const Group &group, int64_t fit,
-                    Plan &plan) {
+// Drops running units whose end turned out not to be needed. Goes through them
+// in reverse order, so that the most expensive ones are dropped first.
+void Planner::pruneEndingUnits(const PlacementUnit &unit,
+                               const TopologyDomain &domain, int64_t fitting,
+                               CapacityPlan &plan) {
   const auto n = static_cast<int64_t>(unit.Tasks.size());
-  for (size_t i = plan.Ends.size(); i-- > 0;) {
-    const Release &r = *plan.Ends[i];
-    const int64_t without = fit + applyRelease(unit, group, r, -1);
-    if (without >= n) {
-      fit = without;
-      plan.Ends.erase(plan.Ends.begin() + static_cast<std::ptrdiff_t>(i));
+  for (size_t i = plan.EndingUnits.size(); i-- > 0;) {
+    const RunningUnit &r = *plan.EndingUnits[i];
+    const int64_t fittingWithout = fitting + applyRelease(unit, domain, r, -1);
+    if (fittingWithout >= n) {
+      fitting = fittingWithout;
+      plan.EndingUnits.erase(plan.EndingUnits.begin() +
+                             static_cast<std::ptrdiff_t>(i));
     } else {
-      applyRelease(unit, group, r, 1);
+      applyRelease(unit, domain, r, 1);
     }
   }
 }
 
-// Keeps for unit what it needs at its places, beyond what the releases will
-// bring. Without this the room of the first release goes to the next in line
-// before the last has come, and the unit never fits: tasks that were stopped
-// for it started again at once, dozens of times.
-void Planner::keep(const Unit &unit, const Plan &plan) {
-  RoomByPlace needs;
-  for (size_t p : plan.Places)
-    needs[p] += unit.spec().room();
-  for (auto &[p, need] : needs) {
-    Place &place = Places[p];
-    core::Resources left = place.Spare;
-    auto freed = plan.Freed.find(p);
-    if (freed != plan.Freed.end())
-      left += freed->second;
-    left -= need;
-    place.Spare = {std::min(place.Spare.MilliCores, left.MilliCores),
-                   std::min(place.Spare.MemoryMb, left.MemoryMb),
-                   std::min(place.Spare.Accelerators, left.Accelerators)};
-    place.KeptFor = std::min(place.KeptFor, plan.Wait);
+// Reserves for unit what it needs on the candidates of the plan, beyond what
+// the ending units will free there. Without the reservation, resources freed
+// first were given to the next unit in line before the last ones were free, and
+// unit never fitted: tasks that were stopped for it were started again at once,
+// dozens of times.
+void Planner::reserve(const PlacementUnit &unit, const CapacityPlan &plan) {
+  ResourcesByCandidate needs;
+  for (size_t c : plan.TargetPlacement)
+    needs[c] += unit.spec().room();
+  for (auto &[c, need] : needs) {
+    Candidate &candidate = Candidates[c];
+    core::Resources remainder = candidate.Unreserved;
+    auto freed = plan.FreedByCandidate.find(c);
+    if (freed != plan.FreedByCandidate.end())
+      remainder += freed->second;
+    remainder -= need;
+    candidate.Unreserved = {
+        std::min(candidate.Unreserved.MilliCores, remainder.MilliCores),
+        std::min(candidate.Unreserved.MemoryMb, remainder.MemoryMb),
+        std::min(candidate.Unreserved.Accelerators, remainder.Accelerators)};
+    candidate.ReservationStartsIn =
+        std::min(candidate.ReservationStartsIn, plan.Wait);
   }
 }
 
-// The plan that costs least, over all groups that unit may stand in.
+// The plan with the lowest cost over all domains that unit can be placed in.
 template <class Cost>
-std::optional<Planner::Plan>
-Planner::leastPlan(const Unit &unit, const Order &order, Cost Plan::*cost) {
-  std::optional<Plan> best;
-  for (const Group &group : groups(unit)) {
-    std::optional<Plan> plan = planWith(unit, group, order.of(group));
+std::optional<Planner::CapacityPlan>
+Planner::findBestPlan(const PlacementUnit &unit, const SortedUnits &sortedUnits,
+                      Cost CapacityPlan::*cost) {
+  std::optional<CapacityPlan> best;
+  for (const TopologyDomain &domain : domainsFor(unit)) {
+    std::optional<CapacityPlan> plan =
+        planInDomain(unit, domain, sortedUnits.inDomain(domain));
     if (plan && (!best || (*plan).*cost < (*best).*cost))
       best = std::move(plan);
   }
   return best;
 }
 
-// The work whose stop makes room for unit and throws away least.
-std::optional<Planner::Plan> Planner::cheapestStops(const Unit &unit) {
-  return leastPlan(unit, stoppable(unit), &Plan::Waste);
+// The plan that frees enough capacity for unit by stopping other work and loses
+// the least work.
+std::optional<Planner::CapacityPlan>
+Planner::findStopPlan(const PlacementUnit &unit) {
+  return findBestPlan(unit, stoppableUnits(unit), &CapacityPlan::LostWork);
 }
 
-// The room that will be there first, going by how far what runs is.
-std::optional<Planner::Plan> Planner::firstEnds(const Unit &unit) {
-  return leastPlan(unit, byEnd(), &Plan::Wait);
+// The plan that waits for running work to end and gets enough capacity for unit
+// at the earliest time, estimated from the progress of the running work.
+std::optional<Planner::CapacityPlan>
+Planner::findWaitPlan(const PlacementUnit &unit) {
+  return findBestPlan(unit, unitsByEnd(), &CapacityPlan::Wait);
 }
 
-// How urgent the unit is, and how much room it must have for that. Only work of
-// priority 0 has room made for it; others take what is free.
-void Planner::judgeDemand(Unit &unit) const {
+// Computes the slack of unit and how many of its tasks have to run at the same
+// time. Only units of priority 0 need the slack, because running work is
+// stopped for them; others use the capacity that is free.
+void Planner::computeUrgency(PlacementUnit &unit) const {
   const Job &job = *unit.Owner;
   const core::StepSpec &spec = unit.spec();
-  unit.Needed = static_cast<int>(unit.Tasks.size());
+  unit.RequiredConcurrency = static_cast<int>(unit.Tasks.size());
   if (unit.Rank > 1)
     return;
   const auto &steps = job.Record.Spec.Steps;
-  const Promise promise = S.promiseOf(job);
-  const auto chains =
-      chainsFrom(steps, promise.Waves,
-                 [&](const core::StepSpec &s) { return S.taskTime(job, s); });
+  const Promise deadline = Scheduler.promiseOf(job);
+  const auto criticalPaths =
+      criticalPathsFrom(steps, deadline.Waves, [&](const core::StepSpec &s) {
+        return Scheduler.taskTime(job, s);
+      });
   const auto step = static_cast<size_t>(unit.Step);
-  const absl::Duration each = S.taskTime(job, spec);
-  const absl::Duration after = chains[step] - each * promise.Waves[step];
-  const absl::Duration left = job.Arrived + promise.Within - Now - after;
-  unit.Slack = left - each;
+  const absl::Duration taskDuration = Scheduler.taskTime(job, spec);
+  const absl::Duration timeAfterStep =
+      criticalPaths[step] - taskDuration * deadline.Waves[step];
+  const absl::Duration timeLeft =
+      job.Arrived + deadline.Within - Now - timeAfterStep;
+  unit.Slack = timeLeft - taskDuration;
   if (!spec.Gang && unit.Rank == 1)
-    demandOfTasks(unit, left, each);
+    computeRequiredConcurrency(unit, timeLeft, taskDuration);
 }
 
-// A wide step is in time although its tasks run in waves: what runs already,
-// and each task that is started now, is followed by others in its room.
-void Planner::demandOfTasks(Unit &unit, absl::Duration left,
-                            absl::Duration each) const {
-  const absl::Duration round = each * RoundMargin + RoundOverhead;
-  const auto rounds = [round](absl::Duration time) -> int64_t {
+// A wide step can meet its deadline although its tasks run one after another:
+// each running task, and each task that is started now, is followed by others
+// on the same resources until the time is up. Updates the slack accordingly.
+void Planner::computeRequiredConcurrency(PlacementUnit &unit,
+                                         absl::Duration timeLeft,
+                                         absl::Duration taskDuration) const {
+  const absl::Duration roundTime = taskDuration * RoundMargin + RoundOverhead;
+  const auto rounds = [roundTime](absl::Duration time) -> int64_t {
     return time <= absl::ZeroDuration()
                ? 0
-               : static_cast<int64_t>(absl::FDivDuration(time, round));
+               : static_cast<int64_t>(absl::FDivDuration(time, roundTime));
   };
   const auto n = static_cast<int64_t>(unit.Tasks.size());
-  int64_t followers = 0;
+  int64_t followUpTasks = 0;
   const JobScheduler::Step &step = unit.step();
   for (size_t i = 0; i < step.size(); ++i) {
     if (!step[i].mayRun())
       continue;
-    followers += rounds(
-        left - RunJudge(S, Now).remaining(
-                   *unit.Owner, unit.task(static_cast<int>(i)), step[i]));
+    followUpTasks +=
+        rounds(timeLeft - RunJudge(Scheduler, Now)
+                              .remainingTime(*unit.Owner,
+                                             unit.taskId(static_cast<int>(i)),
+                                             step[i]));
   }
-  const int64_t perRoom = std::max<int64_t>(1, rounds(left));
-  const int64_t open = std::max<int64_t>(0, n - followers);
-  unit.Needed = static_cast<int>(std::min(n, (open + perRoom - 1) / perRoom));
-  unit.Slack = left - (perRoom > 1 ? round * perRoom : each);
+  const int64_t tasksPerSlot = std::max<int64_t>(1, rounds(timeLeft));
+  const int64_t uncoveredTasks = std::max<int64_t>(0, n - followUpTasks);
+  unit.RequiredConcurrency = static_cast<int>(
+      std::min(n, (uncoveredTasks + tasksPerSlot - 1) / tasksPerSlot));
+  unit.Slack =
+      timeLeft - (tasksPerSlot > 1 ? roundTime * tasksPerSlot : taskDuration);
 }
 
-// How much of others' work may be thrown away for unit, in core-seconds: what
-// its own answer loses by being late.
-double Planner::mostWaste(const Unit &unit) const {
+// Maximum work of others, in core-seconds, that may be lost for unit: a fixed
+// allowance and a share of the work of unit, as an estimate of what its result
+// loses when it is late.
+double Planner::maxLostWork(const PlacementUnit &unit) const {
   const core::StepSpec &spec = unit.spec();
-  const absl::Duration each = S.taskTime(*unit.Owner, spec);
-  const double own = static_cast<double>(unit.Tasks.size()) *
-                     weight(spec.PerTask) * absl::ToDoubleSeconds(each);
-  return S.Policy.WasteForAny + S.Policy.WasteForOwnWork * own;
+  const absl::Duration taskDuration = Scheduler.taskTime(*unit.Owner, spec);
+  const double ownWork = static_cast<double>(unit.Tasks.size()) *
+                         coreEquivalents(spec.PerTask) *
+                         absl::ToDoubleSeconds(taskDuration);
+  return Scheduler.Policy.WasteForAny +
+         Scheduler.Policy.WasteForOwnWork * ownWork;
 }
 
-// Whether work within a guarantee would get its room too late from ends alone.
-bool Planner::guaranteeAtRisk(const Unit &unit,
-                              const std::optional<Plan> &ends) const {
-  const absl::Time natural = ends ? Now + ends->Wait : absl::InfiniteFuture();
+// Whether unit is within a guarantee and would get its capacity later than the
+// guarantee allows if nothing is stopped for it.
+bool Planner::isGuaranteeAtRisk(
+    const PlacementUnit &unit,
+    const std::optional<CapacityPlan> &waitPlan) const {
+  const absl::Time expectedStart =
+      waitPlan ? Now + waitPlan->Wait : absl::InfiniteFuture();
   return unit.Rank == 0 &&
-         natural > unit.Owner->Arrived + S.Policy.ReclaimAfter;
+         expectedStart > unit.Owner->Arrived + Scheduler.Policy.ReclaimAfter;
 }
 
-// Whether unit's job comes in time if it waits for the room that ends give by
-// themselves, or that stops which were asked for will give: twice the wait must
-// be within what it may wait, as it is an estimate.
-bool Planner::inTimeAnyway(const Unit &unit,
-                           const std::optional<Plan> &ends) const {
-  return ends && !guaranteeAtRisk(unit, ends) && ends->Wait * 2 <= unit.Slack;
+// Whether the job of unit meets its deadline if unit waits for capacity that
+// running work frees by ending or after a stop that has already been requested.
+// Twice the wait has to be within the slack, because the wait is an estimate.
+bool Planner::isInTimeWithoutStops(
+    const PlacementUnit &unit,
+    const std::optional<CapacityPlan> &waitPlan) const {
+  return waitPlan && !isGuaranteeAtRisk(unit, waitPlan) &&
+         waitPlan->Wait * 2 <= unit.Slack;
 }
 
-// Stopping others is worth it for a job that comes in time by it and would not
-// otherwise, and whatever it costs where a guarantee would not be kept.
-bool Planner::worthStopping(const Unit &unit, const Plan &stops,
-                            const std::optional<Plan> &ends) const {
-  return guaranteeAtRisk(unit, ends) || stops.Waste <= mostWaste(unit);
+// Stops are worthwhile for a job that meets its deadline with them and would
+// miss it otherwise, if they lose a limited amount of work. Any amount is
+// acceptable if a guarantee would be violated otherwise.
+bool Planner::isWorthStopping(
+    const PlacementUnit &unit, const CapacityPlan &stopPlan,
+    const std::optional<CapacityPlan> &waitPlan) const {
+  return isGuaranteeAtRisk(unit, waitPlan) ||
+         stopPlan.LostWork <= maxLostWork(unit);
 }
 
-// A new leader hears of its workers one after another. One that knew a quarter
-// of them stopped batch work for urgent jobs, while the rest stood empty.
+// Reserves the capacity that becomes free in time without further stops, or
+// requests stops that free enough capacity for unit and reserves that. For
+// tasks that start one by one, does so for as many tasks as possible, trying
+// half as many each time. Returns false if no stops free enough capacity or
+// they are not worthwhile.
+//
+// Without a reservation for capacity that is about to become free, the capacity
+// freed by the first stops was given to other small tasks, which were stopped
+// in turn, up to twelve times in a test.
 //
-// Keeps the room that comes in time by itself for unit, or asks for the stops
-// that make room and keeps that. Without keeping what was on its way, the room
-// of the first stops went to other small tasks, which were stopped in their
-// turn, twelve times over in the test. Tasks that start one by one get room for
-// as many as it can be made for. False when there are no stops, or they are not
-// worth it.
-bool Planner::makeRoom(Unit &unit) {
-  unit.Tasks.resize(
-      std::min(unit.Tasks.size(), static_cast<size_t>(unit.Needed)));
+// A new leader learns about its workers one after another. Stops wait until all
+// workers have had time to report, unless a guarantee is at risk: a leader that
+// knew a quarter of the workers used to stop batch work for urgent jobs while
+// the other workers were idle.
+bool Planner::secureCapacity(PlacementUnit &unit) {
+  unit.Tasks.resize(std::min(unit.Tasks.size(),
+                             static_cast<size_t>(unit.RequiredConcurrency)));
   for (size_t n = unit.Tasks.size(); n > 0; n = unit.spec().Gang ? 0 : n / 2) {
     unit.Tasks.resize(n);
-    const std::optional<Plan> ends = firstEnds(unit);
-    if (inTimeAnyway(unit, ends)) {
-      notePlan(unit, "waits for ends in time", &*ends);
-      keep(unit, *ends);
+    const std::optional<CapacityPlan> waitPlan = findWaitPlan(unit);
+    if (isInTimeWithoutStops(unit, waitPlan)) {
+      logCapacityPlan(unit, "waits for running tasks that end in time",
+                      &*waitPlan);
+      reserve(unit, *waitPlan);
       return true;
     }
-    if (!S.fleetKnown(Now) && !guaranteeAtRisk(unit, ends)) {
-      notePlan(unit, "waits until the workers are known", nullptr);
+    if (!Scheduler.fleetKnown(Now) && !isGuaranteeAtRisk(unit, waitPlan)) {
+      logCapacityPlan(unit, "waits until all workers have reported", nullptr);
       return false;
     }
-    std::optional<Plan> stops = cheapestStops(unit);
-    if (!stops)
-      notePlan(unit, "nothing to stop makes room", nullptr);
-    else if (!worthStopping(unit, *stops, ends))
-      notePlan(unit, "stops would throw away too much", &*stops);
-    if (stops && worthStopping(unit, *stops, ends)) {
-      notePlan(unit, "others are stopped", &*stops);
-      stops->Wait = absl::ZeroDuration();
-      keep(unit, *stops);
-      askForStops(unit, *stops);
+    std::optional<CapacityPlan> stopPlan = findStopPlan(unit);
+    if (!stopPlan)
+      logCapacityPlan(unit, "no stops free enough capacity", nullptr);
+    else if (!isWorthStopping(unit, *stopPlan, waitPlan))
+      logCapacityPlan(unit, "stops would lose too much work", &*stopPlan);
+    if (stopPlan && isWorthStopping(unit, *stopPlan, waitPlan)) {
+      logCapacityPlan(unit, "stops other tasks", &*stopPlan);
+      stopPlan->Wait = absl::ZeroDuration();
+      reserve(unit, *stopPlan);
+      requestStops(unit, *stopPlan);
       return true;
     }
   }
   return false;
 }
 
-// Logged when the outcome changes, so that a unit that waits for long says so
-// once and not in each pass.
-void Planner::notePlan(const Unit &unit, const char *outcome,
-                       const Plan *plan) {
+// Logs only changes of the outcome, so that a unit that waits for a long time
+// is logged once and not in each pass.
+void Planner::logCapacityPlan(const PlacementUnit &unit, const char *outcome,
+                              const CapacityPlan *plan) {
   const char *&logged =
       unit.Owner->RoomPlanLogged[{unit.Occurrence, unit.Step}];
   if (logged == outcome)
@@ -421,52 +478,56 @@
   std::vector<Input> inputs = {
       {"rank", unit.Rank},
       {"tasks", static_cast<int64_t>(unit.Tasks.size())},
-      {"needed", unit.Needed},
+      {"needed", unit.RequiredConcurrency},
       {"slack_ms", absl::ToInt64Milliseconds(unit.Slack)},
-      {"most_waste_core_s", static_cast<int64_t>(mostWaste(unit))}};
+      {"most_waste_core_s", static_cast<int64_t>(maxLostWork(unit))}};
   if (plan != nullptr) {
     inputs.push_back({"wait_ms", absl::ToInt64Milliseconds(plan->Wait)});
-    inputs.push_back({"waste_core_s", static_cast<int64_t>(plan->Waste)});
-    inputs.push_back({"ends", static_cast<int64_t>(plan->Ends.size())});
+    inputs.push_back({"waste_core_s", static_cast<int64_t>(plan->LostWork)});
+    inputs.push_back({"ends", static_cast<int64_t>(plan->EndingUnits.size())});
   }
-  S.note(Decision::Kind::RoomPlanned, unit.Owner->Record.Spec.Id,
-         core::taskName(unit.task(unit.Tasks.front())), 0, "", outcome,
-         std::move(inputs));
+  Scheduler.note(Decision::Kind::RoomPlanned, unit.Owner->Record.Spec.Id,
+                 core::taskName(unit.taskId(unit.Tasks.front())), 0, "",
+                 outcome, std::move(inputs));
 }
 
-void Planner::askForStops(const Unit &unit, const Plan &stops) {
+void Planner::requestStops(const PlacementUnit &unit,
+                           const CapacityPlan &stopPlan) {
   const std::string why = "makes room for job " + unit.Owner->Record.Spec.Id;
   std::set<std::tuple<Job *, int, int>> steps;
-  for (const Release *r : stops.Ends) {
+  for (const RunningUnit *r : stopPlan.EndingUnits) {
     steps.insert({r->Owner, r->Occurrence, r->Step});
     if (r->Index < 0) {
-      S.stopStep(*r->Owner, r->Occurrence, r->Step, why);
+      Scheduler.stopStep(*r->Owner, r->Occurrence, r->Step, why);
       continue;
     }
     const core::TaskId task{r->Owner->Record.Spec.Id, r->Occurrence, r->Step,
                             r->Index};
-    S.requestStop(task, *S.findTask(task), why);
+    Scheduler.requestStop(task, *Scheduler.findTask(task), why);
   }
-  // The plan's releases are not looked at after this.
+  // This invalidates the running units that the plan refers to; they are not
+  // used from here on.
   for (const auto &[job, occurrence, step] : steps)
-    listAgain(*job, occurrence, step);
+    refreshRunningUnits(*job, occurrence, step);
 }
 
-int Planner::mostKept() const {
-  return std::max(S.Policy.LeastKept,
-                  static_cast<int>(Places.size()) / S.Policy.WorkersPerKept);
+// Maximum number of units that reserve capacity while they wait.
+int Planner::maxReservations() const {
+  return std::max(Scheduler.Policy.LeastKept,
+                  static_cast<int>(Candidates.size()) /
+                      Scheduler.Policy.WorkersPerKept);
 }
 
-// Keeps the room that will be there first, so that smaller work does not take
-// it for ever.
-void Planner::waitForRoom(Unit &unit) {
-  if (Kept >= mostKept() || !isLarge(unit))
+// Reserves the capacity that becomes free first for a large unit, so that
+// smaller units do not take it indefinitely.
+void Planner::reserveEarliestCapacity(PlacementUnit &unit) {
+  if (ReservationCount >= maxReservations() || !isLarge(unit))
     return;
-  const std::optional<Plan> best = firstEnds(unit);
+  const std::optional<CapacityPlan> best = findWaitPlan(unit);
   if (!best)
     return;
-  ++Kept;
-  keep(unit, *best);
+  ++ReservationCount;
+  reserve(unit, *best);
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/planner_suspects.cpp
+++ b/src/libs/jobs/planner_suspects.cpp
@@ -1,5 +1,6 @@
-// Tasks that may have crashed their workers are tried apart, so that the next
-// crash tells whose doing it was and takes little else with it.
+// Suspect tasks, which may have crashed their workers, are started in
+// isolation, so that the next crash identifies its cause and affects little
+// other work.
 #include "planner.h"
 
 #include <algorithm>
@@ -8,46 +9,52 @@
 
 namespace {
 
-/// What the start of a suspect puts at risk: work on the same worker, and its
-/// own job, where the worker may crash by itself.
-constexpr int RiskOfWork = 1;
-constexpr int RiskOfOwnCrash = 2;
+/// What the start of a suspect task puts at risk: other work on the same
+/// worker, and its own job if the host crashes workers by itself.
+constexpr int RiskToOtherWork = 1;
+constexpr int RiskOfHostCrash = 2;
 
 } // namespace
 
-// Looks at all that runs, and so only while there are suspects.
-void Planner::markSuspects() {
+// Iterates over all running tasks, therefore only while there are suspect
+// tasks.
+void Planner::markRecentStarts() {
   const bool suspects =
-      std::any_of(S.Jobs.begin(), S.Jobs.end(),
+      std::any_of(Scheduler.Jobs.begin(), Scheduler.Jobs.end(),
                   [](const auto &entry) { return entry.second.HasSuspects; });
   if (!suspects)
     return;
-  for (auto &[id, job] : S.Jobs)
-    S.forEachTask(job, [this](const core::TaskId &, const Task &task) {
+  for (auto &[id, job] : Scheduler.Jobs)
+    Scheduler.forEachTask(job, [this](const core::TaskId &, const Task &task) {
       if (!task.mayRun() || task.outlived())
         return;
-      auto place = PlaceOf.find(task.Progress.Worker);
-      if (place == PlaceOf.end())
+      auto candidate = CandidateOf.find(task.Progress.Worker);
+      if (candidate == CandidateOf.end())
         return;
-      Places[place->second].JustBegun = true;
-      Places[place->second].HoldsSuspect |= task.isSuspect();
+      Candidates[candidate->second].HasRecentStart = true;
+      Candidates[candidate->second].HasRecentSuspectStart |= task.isSuspect();
     });
 }
 
-void Planner::markBegun(size_t p, const Unit &unit) {
-  Places[p].JustBegun = true;
-  Places[p].HoldsSuspect |= unit.Suspect;
+void Planner::markRecentStart(size_t candidateIndex,
+                              const PlacementUnit &unit) {
+  Candidates[candidateIndex].HasRecentStart = true;
+  Candidates[candidateIndex].HasRecentSuspectStart |= unit.HasSuspect;
 }
 
-bool Planner::mayStartOn(const Place &place, const Unit &unit) const {
-  return !place.HoldsSuspect && !(unit.Suspect && place.JustBegun);
+bool Planner::canStartOn(const Candidate &candidate,
+                         const PlacementUnit &unit) const {
+  return !candidate.HasRecentSuspectStart &&
+         !(unit.HasSuspect && candidate.HasRecentStart);
 }
 
-int Planner::riskOf(const Place &place, const Unit &unit) const {
-  if (!unit.Suspect)
+int Planner::crashRisk(const Candidate &candidate,
+                       const PlacementUnit &unit) const {
+  if (!unit.HasSuspect)
     return 0;
-  return (isEmpty(place) ? 0 : RiskOfWork) +
-         (S.crashedLately(place.View->Agent, Now) ? RiskOfOwnCrash : 0);
+  return (isEmpty(candidate) ? 0 : RiskToOtherWork) +
+         (Scheduler.crashedLately(candidate.View->Agent, Now) ? RiskOfHostCrash
+                                                              : 0);
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/progress.cpp
+++ b/src/libs/jobs/progress.cpp
@@ -9,68 +9,73 @@
                          int percent, absl::Duration estimate, bool resumed,
                          absl::Time now) {
   auto [it, added] = Runs.try_emplace(
-      run, Watched{worker, estimate, resumed, percent, percent, now, now, {}});
-  Watched &w = it->second;
-  w.LastSeen = now;
-  if (added || percent <= w.Percent)
+      run,
+      TrackedRun{worker, estimate, resumed, percent, percent, now, now, {}});
+  TrackedRun &tracked = it->second;
+  tracked.LastReport = now;
+  if (added || percent <= tracked.Percent)
     return;
-  w.Percent = percent;
-  w.LastGain = now;
-  w.Gains.push_back({now, percent});
-  while (w.Gains.size() > 2 && now - w.Gains[1].At >= Policy.RateOver)
-    w.Gains.pop_front();
+  tracked.Percent = percent;
+  tracked.LastIncrease = now;
+  tracked.Increases.push_back({now, percent});
+  while (tracked.Increases.size() > 2 &&
+         now - tracked.Increases[1].At >= Policy.MinRateWindow)
+    tracked.Increases.pop_front();
 }
 
 void ProgressWatch::forget(const RunId &run) { Runs.erase(run); }
 
-bool ProgressWatch::stalled(const RunId &run) const {
+bool ProgressWatch::isStalled(const RunId &run) const {
   auto it = Runs.find(run);
   if (it == Runs.end() || it->second.Percent >= 100)
     return false;
-  const Watched &w = it->second;
-  absl::Duration patience =
-      std::max(Policy.StalledAfter, w.Estimate * Policy.StalledShare);
-  if (w.Resumed)
-    patience += Policy.Restore;
-  return w.LastSeen - w.LastGain >= patience;
+  const TrackedRun &tracked = it->second;
+  absl::Duration timeout = std::max(
+      Policy.StalledAfter, tracked.Estimate * Policy.StalledEstimateShare);
+  if (tracked.Resumed)
+    timeout += Policy.Restore;
+  return tracked.LastReport - tracked.LastIncrease >= timeout;
 }
 
-bool ProgressWatch::workerMoves(const WorkerLife &worker,
-                                absl::Time now) const {
+bool ProgressWatch::isWorkerProgressing(const WorkerLife &worker,
+                                        absl::Time now) const {
   return std::any_of(Runs.begin(), Runs.end(), [&](const auto &entry) {
-    const Watched &w = entry.second;
-    // A run that was only just seen first has not shown anything.
-    return w.Worker == worker && w.Percent > w.FirstPercent &&
-           now - w.LastGain < Policy.StalledAfter;
+    const TrackedRun &tracked = entry.second;
+    // A run that has been reported only once has not shown any progress.
+    return tracked.Worker == worker && tracked.Percent > tracked.FirstPercent &&
+           now - tracked.LastIncrease < Policy.StalledAfter;
   });
 }
 
-std::optional<ProgressWatch::Whole>
-ProgressWatch::whole(const RunId &run) const {
+std::optional<ProgressWatch::DurationBounds>
+ProgressWatch::durationBounds(const RunId &run) const {
   auto it = Runs.find(run);
-  if (it == Runs.end() || it->second.Gains.empty() || it->second.Percent >= 100)
+  if (it == Runs.end() || it->second.Increases.empty() ||
+      it->second.Percent >= 100)
     return std::nullopt;
-  const Watched &w = it->second;
-  const absl::Duration span = w.Gains.back().At - w.Gains.front().At;
-  const int gained = w.Gains.back().Percent - w.Gains.front().Percent;
-  if (span < Policy.RateOver || gained <= 0)
+  const TrackedRun &tracked = it->second;
+  const absl::Duration span =
+      tracked.Increases.back().At - tracked.Increases.front().At;
+  const int increase =
+      tracked.Increases.back().Percent - tracked.Increases.front().Percent;
+  if (span < Policy.MinRateWindow || increase <= 0)
     return std::nullopt;
-  return Whole{span * (100.0 / (gained + 1)),
-               gained > 1 ? span * (100.0 / (gained - 1))
-                          : absl::InfiniteDuration()};
+  return DurationBounds{span * (100.0 / (increase + 1)),
+                        increase > 1 ? span * (100.0 / (increase - 1))
+                                     : absl::InfiniteDuration()};
 }
 
 void EstimateBook::ended(const std::string &queue, absl::Duration estimate,
                          absl::Duration took) {
   if (estimate <= absl::ZeroDuration() || took <= absl::ZeroDuration())
     return;
-  Errors &e = Queues[queue];
-  const double x = std::log(absl::FDivDuration(took, estimate));
+  LogErrors &errors = Queues[queue];
+  const double logError = std::log(absl::FDivDuration(took, estimate));
   // Welford's method: mean and sum of squares in one pass.
-  ++e.Count;
-  const double before = x - e.Mean;
-  e.Mean += before / e.Count;
-  e.SquaresSum += before * (x - e.Mean);
+  ++errors.Count;
+  const double previousDeviation = logError - errors.Mean;
+  errors.Mean += previousDeviation / errors.Count;
+  errors.SquareSum += previousDeviation * (logError - errors.Mean);
 }
 
 absl::Duration EstimateBook::expected(const std::string &queue,
@@ -80,17 +85,17 @@
 }
 
 std::optional<absl::Duration>
-EstimateBook::slowBeyond(const std::string &queue,
-                         absl::Duration estimate) const {
+EstimateBook::slowThreshold(const std::string &queue,
+                            absl::Duration estimate) const {
   auto it = Queues.find(queue);
-  if (it == Queues.end() || it->second.Count < Policy.EndsToBelieve)
+  if (it == Queues.end() || it->second.Count < Policy.MinEndsForEstimate)
     return std::nullopt;
-  const Errors &e = it->second;
-  const double deviation = std::sqrt(e.SquaresSum / (e.Count - 1));
-  if (deviation > Policy.MostScatter)
+  const LogErrors &errors = it->second;
+  const double deviation = std::sqrt(errors.SquareSum / (errors.Count - 1));
+  if (deviation > Policy.MaxLogDeviation)
     return std::nullopt;
   const double margin =
-      std::max(Policy.Deviations * deviation, std::log(Policy.SlowFactor));
+      std::max(Policy.MaxDeviations * deviation, std::log(Policy.SlowFactor));
   return expected(queue, estimate) * std::exp(margin);
 }
 
--- a/src/libs/jobs/progress.h
+++ b/src/libs/jobs/progress.h
@@ -11,106 +11,113 @@
 
 namespace oriolebay::jobs {
 
-/// How progress is judged.
+/// Parameters for detecting stalled and slow runs.
 struct ProgressPolicy {
-  /// A run whose percent has not grown for so long stands still. Workers are
-  /// looked at twice a second, and a task of 30 s gains a percent in 0.3 s, so
-  /// that this spans several looks that should have shown one.
+  /// A run whose percentage has not increased for this long is stalled. Workers
+  /// are polled twice a second and a task of 30 s progresses by a percent in
+  /// 0.3 s, so several polls should have shown an increase within this time.
   absl::Duration StalledAfter = absl::Milliseconds(1300);
-  /// More of it for long tasks: a share of the estimate.
-  double StalledShare = 0.05;
-  /// A run that resumes from a checkpoint begins so much later.
+  /// Share of the estimated duration that is used instead if it is longer, for
+  /// long tasks.
+  double StalledEstimateShare = 0.05;
+  /// Time to restore a checkpoint, by which the progress of a resumed run
+  /// starts later.
   absl::Duration Restore = absl::Milliseconds(600);
-  /// Rates are taken over at least so long: two looks.
-  absl::Duration RateOver = absl::Milliseconds(900);
-  /// A run is slow if it takes so many times as long as its like: more than
-  /// tasks of a step and sound workers differ.
+  /// Minimum time over which the rate of progress is computed: two polls.
+  absl::Duration MinRateWindow = absl::Milliseconds(900);
+  /// A run is too slow if it takes this many times as long as its peers: more
+  /// than the tasks of a step and sound workers differ.
   double SlowFactor = 4;
-  /// Estimates of a queue's tasks are believed after so many ends, and within
-  /// so many standard deviations of how far they were off. With less of either,
-  /// sound tasks of a queue with wild estimates are taken for slow.
-  int EndsToBelieve = 10;
-  double Deviations = 3;
-  /// Estimates that scatter more than this (in the logarithm) tell nothing.
-  double MostScatter = 0.4;
+  /// The estimates of a queue are used to detect slow runs after this many ends
+  /// of its tasks, and up to this many standard deviations of the estimation
+  /// error. With lower values, sound tasks of a queue with very inaccurate
+  /// estimates are classified as slow.
+  int MinEndsForEstimate = 10;
+  double MaxDeviations = 3;
+  /// Maximum standard deviation of the logarithm of the estimation error.
+  /// Beyond it, estimates are not used to detect slow runs.
+  double MaxLogDeviation = 0.4;
 };
 
-/// Watches how far runs are and tells those that stand still, at workers that
-/// answer all else in time, and at what rate the others get on. No threads,
-/// clock or sockets.
+/// Tracks the progress of runs. Detects stalled runs on workers that otherwise
+/// answer in time, and derives the duration of the others from their rate of
+/// progress. Uses no threads, clock or sockets.
 class ProgressWatch {
 public:
   explicit ProgressWatch(ProgressPolicy policy) : Policy(policy) {}
 
-  /// A run was seen at percent on worker. Estimate is how long all of it
-  /// should take.
+  /// Records that a run on worker was reported at percent. Estimate is the
+  /// expected duration of the whole run.
   void seen(const RunId &run, const WorkerLife &worker, int percent,
             absl::Duration estimate, bool resumed, absl::Time now);
   void forget(const RunId &run);
 
-  /// The run was not seen to get on for long, though it is not at its end.
-  /// Time in which nobody could see it does not count: its agent may have been
-  /// killed or cut off.
-  bool stalled(const RunId &run) const;
-  /// Some run has got on at the worker within the same time.
-  bool workerMoves(const WorkerLife &worker, absl::Time now) const;
-  /// How long all of the run takes at its present rate, between bounds:
-  /// percent comes in whole numbers, which early on leaves much open. Nothing
-  /// until it has been seen to get on for long enough, or at its end.
-  struct Whole {
+  /// Whether the percentage of an unfinished run has not increased for too
+  /// long. Time in which it could not be reported does not count, because its
+  /// agent may have been killed or cut off.
+  bool isStalled(const RunId &run) const;
+  /// Whether the percentage of some run on the worker has increased within
+  /// StalledAfter.
+  bool isWorkerProgressing(const WorkerLife &worker, absl::Time now) const;
+  /// Bounds on the duration of the whole run at its present rate. Percentages
+  /// are whole numbers, so the bounds are wide early in a run. Returns nothing
+  /// until progress has been reported for MinRateWindow, and when the run is at
+  /// its end.
+  struct DurationBounds {
     absl::Duration AtLeast;
     absl::Duration AtMost;
   };
-  std::optional<Whole> whole(const RunId &run) const;
+  std::optional<DurationBounds> durationBounds(const RunId &run) const;
 
 private:
   struct Sample {
     absl::Time At;
     int Percent = 0;
   };
-  struct Watched {
+  struct TrackedRun {
     WorkerLife Worker;
     absl::Duration Estimate;
     bool Resumed = false;
     int FirstPercent = 0;
     int Percent = 0;
-    absl::Time LastGain;
-    absl::Time LastSeen;
-    /// Where percent grew, from the last that is RateOver old on.
-    std::deque<Sample> Gains;
+    absl::Time LastIncrease;
+    absl::Time LastReport;
+    /// Increases of the percentage, starting with the last one that is at least
+    /// MinRateWindow old.
+    std::deque<Sample> Increases;
   };
 
   const ProgressPolicy Policy;
-  std::map<RunId, Watched> Runs;
+  std::map<RunId, TrackedRun> Runs;
 };
 
-/// Learns by how much the estimates of a queue's callers are off, which
-/// differs from queue to queue by ten times.
+/// Learns the error of the estimates that the callers of a queue give. The
+/// error differs between queues by a factor of ten.
 class EstimateBook {
 public:
   explicit EstimateBook(ProgressPolicy policy) : Policy(policy) {}
 
-  /// A task that was estimated so has taken so long.
+  /// Records that a task with the given estimate has taken the time took.
   void ended(const std::string &queue, absl::Duration estimate,
              absl::Duration took);
-  /// How long a task may take before it is slow beyond what its estimate's
-  /// error explains; nothing while too little is known.
-  std::optional<absl::Duration> slowBeyond(const std::string &queue,
-                                           absl::Duration estimate) const;
-  /// How long it is expected to take.
+  /// Duration from which a task is slower than the error of its estimate
+  /// explains. Returns nothing while too little is known.
+  std::optional<absl::Duration> slowThreshold(const std::string &queue,
+                                              absl::Duration estimate) const;
+  /// Expected duration of a task with the given estimate.
   absl::Duration expected(const std::string &queue,
                           absl::Duration estimate) const;
 
 private:
-  /// Of the logarithm of the time taken over the estimate.
-  struct Errors {
+  /// Statistics of the logarithm of the actual over the estimated duration.
+  struct LogErrors {
     int Count = 0;
     double Mean = 0;
-    double SquaresSum = 0;
+    double SquareSum = 0;
   };
 
   const ProgressPolicy Policy;
-  std::map<std::string, Errors> Queues;
+  std::map<std::string, LogErrors> Queues;
 };
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/promise.cpp
+++ b/src/libs/jobs/promise.cpp
@@ -9,63 +9,66 @@
 
 namespace {
 
-/// A late answer is worth something still until so many times the promise.
-constexpr int64_t LateUpTo = 3;
+/// A late answer still has some value up to this multiple of the deadline.
+constexpr int64_t WorthlessAfterFactor = 3;
 
-int64_t wavesFor(int64_t need, int64_t room) {
-  const int64_t share = room / WidestShareOfRoom;
-  if (need <= 0 || share <= 0)
+int64_t wavesFor(int64_t required, int64_t capacity) {
+  const int64_t share = capacity / WaveCapacityDivisor;
+  if (required <= 0 || share <= 0)
     return 1;
-  return (need + share - 1) / share;
+  return (required + share - 1) / share;
 }
 
 } // namespace
 
-int wavesOf(const core::StepSpec &step, const core::Resources &room) {
-  const core::Resources each = step.room();
+int wavesOf(const core::StepSpec &step, const core::Resources &capacity) {
+  const core::Resources perTask = step.room();
   const int64_t n = step.Count;
   const int64_t waves =
-      std::max({wavesFor(n * each.MilliCores, room.MilliCores),
-                wavesFor(n * each.MemoryMb, room.MemoryMb),
-                wavesFor(n * each.Accelerators, room.Accelerators)});
+      std::max({wavesFor(n * perTask.MilliCores, capacity.MilliCores),
+                wavesFor(n * perTask.MemoryMb, capacity.MemoryMb),
+                wavesFor(n * perTask.Accelerators, capacity.Accelerators)});
   return static_cast<int>(std::min<int64_t>(waves, n));
 }
 
-// Steps only wait for earlier ones, so that one pass from the last step to the
-// first has each step's successors done before the step itself.
-std::vector<absl::Duration> chainsFrom(const std::vector<core::StepSpec> &steps,
-                                       const std::vector<int> &waves,
-                                       const TaskTime &taskTime) {
-  std::vector<absl::Duration> chains(steps.size(), absl::ZeroDuration());
+// Steps depend on earlier steps only, so a single pass from the last step to
+// the first visits the successors of each step before the step itself.
+std::vector<absl::Duration>
+criticalPathsFrom(const std::vector<core::StepSpec> &steps,
+                  const std::vector<int> &waves, const TaskTime &taskTime) {
+  std::vector<absl::Duration> criticalPaths(steps.size(), absl::ZeroDuration());
   for (size_t s = steps.size(); s-- > 0;) {
-    chains[s] += taskTime(steps[s]) * waves[s];
-    for (int before : steps[s].After) {
-      absl::Duration &rest = chains[static_cast<size_t>(before)];
-      rest = std::max(rest, chains[s]);
+    criticalPaths[s] += taskTime(steps[s]) * waves[s];
+    for (int predecessor : steps[s].After) {
+      absl::Duration &pathBefore =
+          criticalPaths[static_cast<size_t>(predecessor)];
+      pathBefore = std::max(pathBefore, criticalPaths[s]);
     }
   }
-  return chains;
+  return criticalPaths;
 }
 
 Promise promiseOf(const std::vector<core::StepSpec> &steps,
-                  const core::Resources &room, double stretch, int64_t targetMs,
-                  const TaskTime &taskTime) {
-  Promise p;
+                  const core::Resources &capacity, double stretch,
+                  int64_t targetMs, const TaskTime &taskTime) {
+  Promise deadline;
   for (const core::StepSpec &step : steps)
-    p.Waves.push_back(wavesOf(step, room));
-  const auto chains = chainsFrom(steps, p.Waves, taskTime);
-  p.Chain = chains.empty() ? absl::ZeroDuration()
-                           : *std::max_element(chains.begin(), chains.end());
-  p.Within = p.Chain * stretch + absl::Milliseconds(targetMs);
-  p.WorthlessAfter = p.Within * LateUpTo;
-  return p;
+    deadline.Waves.push_back(wavesOf(step, capacity));
+  const auto criticalPaths = criticalPathsFrom(steps, deadline.Waves, taskTime);
+  deadline.Chain =
+      criticalPaths.empty()
+          ? absl::ZeroDuration()
+          : *std::max_element(criticalPaths.begin(), criticalPaths.end());
+  deadline.Within = deadline.Chain * stretch + absl::Milliseconds(targetMs);
+  deadline.WorthlessAfter = deadline.Within * WorthlessAfterFactor;
+  return deadline;
 }
 
 std::string stepsText(const std::vector<core::StepSpec> &steps,
-                      const Promise &promise) {
+                      const Promise &deadline) {
   std::vector<std::string> out;
   for (size_t s = 0; s < steps.size(); ++s) {
-    out.push_back(absl::StrCat("waves=", promise.Waves[s]));
+    out.push_back(absl::StrCat("waves=", deadline.Waves[s]));
     if (!steps[s].After.empty())
       absl::StrAppend(&out.back(),
                       " after=", absl::StrJoin(steps[s].After, ","));
--- a/src/libs/jobs/promise.h
+++ b/src/libs/jobs/promise.h
@@ -10,46 +10,47 @@
 
 namespace oriolebay::jobs {
 
-/// A step that takes more than this share of its service's room is not expected
-/// to run all at once: its work counts in as many waves as it needs then.
-constexpr int WidestShareOfRoom = 4;
+/// A step that needs more than 1/WaveCapacityDivisor of the capacity of its
+/// service is not expected to run all at once. Its work then counts as several
+/// waves, each of at most that share.
+constexpr int WaveCapacityDivisor = 4;
 
-/// How many waves of tasks step counts as on a service with so much room, by
-/// whichever of cores, memory and accelerators it takes most of. One where the
-/// room is not known yet.
-int wavesOf(const core::StepSpec &step, const core::Resources &room);
+/// Number of waves that a step counts as on a service with the given capacity,
+/// determined by the one of cores, memory and accelerators that it needs the
+/// largest share of. Returns 1 while the capacity is not known.
+int wavesOf(const core::StepSpec &step, const core::Resources &capacity);
 
-/// How long a task of the step is expected to work.
+/// Returns the expected duration of a task of the step.
 using TaskTime = std::function<absl::Duration(const core::StepSpec &)>;
 
-/// What the callers of a job were promised: it is in time when it is over
-/// Within after it was handed in, and nearly worthless to them after
-/// WorthlessAfter.
+/// Deadline of a job: it is on time if it ends within Within of its submission,
+/// and is nearly worthless to its caller after WorthlessAfter.
 struct Promise {
-  /// The longest chain of the steps' work, wide steps in waves.
+  /// Length of the critical path through the steps, with wide steps counted in
+  /// waves.
   absl::Duration Chain;
   absl::Duration Within;
   absl::Duration WorthlessAfter;
-  /// By step.
+  /// Number of waves by step.
   std::vector<int> Waves;
 
   auto operator<=>(const Promise &) const = default;
 };
 
-/// The promise for a job of these steps: stretch times its chain and targetMs
-/// more.
+/// Computes the deadline of a job with these steps: stretch times its critical
+/// path, plus targetMs.
 Promise promiseOf(const std::vector<core::StepSpec> &steps,
-                  const core::Resources &room, double stretch, int64_t targetMs,
-                  const TaskTime &taskTime);
+                  const core::Resources &capacity, double stretch,
+                  int64_t targetMs, const TaskTime &taskTime);
 
-/// For each step the longest chain of work from it on, itself included.
-std::vector<absl::Duration> chainsFrom(const std::vector<core::StepSpec> &steps,
-                                       const std::vector<int> &waves,
-                                       const TaskTime &taskTime);
+/// For each step, the length of the critical path that starts with it.
+std::vector<absl::Duration>
+criticalPathsFrom(const std::vector<core::StepSpec> &steps,
+                  const std::vector<int> &waves, const TaskTime &taskTime);
 
-/// For the log: waves and predecessors of each step, such as
+/// Waves and predecessors of each step for the log, such as
 /// "waves=2; waves=1 after=0".
 std::string stepsText(const std::vector<core::StepSpec> &steps,
-                      const Promise &promise);
+                      const Promise &deadline);
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/runjudge.cpp
+++ b/src/libs/jobs/runjudge.cpp
@@ -10,29 +10,31 @@
 
 namespace {
 
-/// A task is assumed to need at least so long still, however far it is.
-constexpr absl::Duration LeastRemaining = absl::Milliseconds(200);
-/// A run is assumed to have got on for so long since its last percent: two
-/// reports of a worker. Beyond that nobody knows.
-constexpr absl::Duration MostSincePercent = absl::Seconds(1);
-/// What it takes until a worker has a stop: a tick of the scheduler, the way
-/// to the agent and to the worker, and one repetition.
-constexpr absl::Duration StopOnItsWay = absl::Milliseconds(600);
+/// Minimum remaining time that is assumed for a run, however far it has
+/// progressed.
+constexpr absl::Duration MinRemaining = absl::Milliseconds(200);
+/// Maximum time since the last reported percentage for which a run is
+/// assumed to have progressed further: two reports of a worker. Beyond that its
+/// progress is unknown.
+constexpr absl::Duration MaxExtrapolation = absl::Seconds(1);
+/// Time until a stop reaches a worker: a tick of the scheduler, the delivery to
+/// the agent and to the worker, and one retry.
+constexpr absl::Duration StopDeliveryTime = absl::Milliseconds(600);
 
 } // namespace
 
 void RunJudge::judge() {
-  for (auto &[jobId, job] : S.Jobs) {
+  for (auto &[jobId, job] : Scheduler.Jobs) {
     if (job.over())
       continue;
     for (auto &[number, steps] : job.Occurrences)
       for (size_t s = 0; s < steps.size(); ++s)
-        judgeStep(job, {jobId, number, static_cast<int>(s), 0});
+        checkStep(job, {jobId, number, static_cast<int>(s), 0});
   }
 }
 
-void RunJudge::judgeStep(Job &job, const TaskId &first) {
-  LikeTimes like;
+void RunJudge::checkStep(Job &job, const TaskId &first) {
+  PeerTimes peers;
   TaskId id = first;
   Step &step = job.stepOf(id);
   for (size_t i = 0; i < step.size(); ++i) {
@@ -40,174 +42,189 @@
     Task &task = step[i];
     if (task.What == JobScheduler::Phase::Running && !task.StopAsked &&
         !task.Progress.Done)
-      judgeRun(job, id, task, like);
+      checkRun(job, id, task, peers);
   }
 }
 
-void RunJudge::judgeRun(Job &job, const TaskId &id, Task &task,
-                        LikeTimes &like) {
-  if (mustLeave(job, id, task)) {
+void RunJudge::checkRun(Job &job, const TaskId &id, Task &task,
+                        PeerTimes &peers) {
+  if (mustEvacuate(job, id, task)) {
     evacuate(job, id, task);
-  } else if (standsStill(job, id, task)) {
-    moveFromSlow(job, id, task, "stands still");
-  } else if (crawls(job, id, task, like)) {
+  } else if (isRunStalled(job, id, task)) {
+    quarantineAndRestart(job, id, task, "stands still");
+  } else if (isRunTooSlow(job, id, task, peers)) {
     ++task.Moves;
-    moveFromSlow(job, id, task, "crawls");
+    quarantineAndRestart(job, id, task, "crawls");
   }
 }
 
-absl::Duration RunJudge::remaining(const Job &job, const TaskId &id,
-                                   const Task &task) const {
+absl::Duration RunJudge::remainingTime(const Job &job, const TaskId &id,
+                                       const Task &task) const {
   const core::StepSpec &spec = job.specOf(id);
   if (spec.LongRunning)
     return absl::InfiniteDuration();
-  absl::Duration whole = S.Estimates.expected(
+  absl::Duration total = Scheduler.Estimates.expected(
       job.Record.Spec.Queue, absl::Milliseconds(spec.EstimateMs));
-  if (const auto seen =
-          S.Progress.whole({core::taskName(id), task.Progress.Run}))
-    whole = seen->AtLeast;
-  // Percent is as old as the last report: an urgent job once had a run stopped
-  // that was about to end, because its rest stood still between two reports.
-  const absl::Duration since = std::min(Now - task.PercentAt, MostSincePercent);
-  return std::max(whole * (100 - task.Percent) / 100 - since, LeastRemaining);
+  if (const auto bounds = Scheduler.Progress.durationBounds(
+          {core::taskName(id), task.Progress.Run}))
+    total = bounds->AtLeast;
+  // The percentage is as old as the last report. Without the correction, a run
+  // that was about to end was stopped for an urgent job, because its remaining
+  // time did not decrease between two reports.
+  const absl::Duration sinceReport =
+      std::min(Now - task.PercentAt, MaxExtrapolation);
+  return std::max(total * (100 - task.Percent) / 100 - sinceReport,
+                  MinRemaining);
 }
 
-// A gang's members wait for each other, so that one that stands still holds up
-// all, and all stand still until every member is there. Only a member that is
-// behind another one is to blame.
-bool RunJudge::behindItsGang(const Step &step, const Task &task) {
+// Members of a gang wait for each other, so a single stalled member stalls all
+// of them, and all are stalled until every member has started. Only a member
+// whose progress is behind that of another one is the cause.
+bool RunJudge::isBehindGang(const Step &step, const Task &task) {
   return std::any_of(step.begin(), step.end(), [&](const Task &other) {
     return other.mayRun() && other.Percent > task.Percent + 1;
   });
 }
 
-// Whether a run is better started anew elsewhere: it stands still, and so does
-// all else at its worker.
-bool RunJudge::standsStill(const Job &job, const TaskId &id,
-                           const Task &task) const {
-  if (!S.Progress.stalled({core::taskName(id), task.Progress.Run}) ||
-      S.Progress.workerMoves(task.Progress.Worker, Now))
+// Whether a run is stalled and better restarted elsewhere, because no other run
+// on its worker makes progress either.
+bool RunJudge::isRunStalled(const Job &job, const TaskId &id,
+                            const Task &task) const {
+  if (!Scheduler.Progress.isStalled({core::taskName(id), task.Progress.Run}) ||
+      Scheduler.Progress.isWorkerProgressing(task.Progress.Worker, Now))
     return false;
   const Step &step = job.stepOf(id);
   const bool gang = job.specOf(id).Gang && step.size() > 1;
-  return !gang || behindItsGang(step, task) ||
-         Now - task.Began > S.Policy.GangWait + S.Policy.Progress.StalledAfter;
+  return !gang || isBehindGang(step, task) ||
+         Now - task.Began >
+             Scheduler.Policy.GangWait + Scheduler.Policy.Progress.StalledAfter;
 }
 
-// How long each task of the step takes, as far as that shows. Once a step: to
-// look at all others for each task takes the square of a wide step's tasks.
-void RunJudge::findLikeTimes(const Job &job, const TaskId &first,
-                             LikeTimes &like) const {
-  like.Known = true;
+// Collects the durations of all tasks of the step that are known. Done once per
+// step, because collecting them for each task takes quadratic time in the
+// number of tasks of a wide step.
+void RunJudge::collectPeerTimes(const Job &job, const TaskId &first,
+                                PeerTimes &peers) const {
+  peers.Collected = true;
   const Step &step = job.stepOf(first);
   TaskId id = first;
   for (size_t i = 0; i < step.size(); ++i) {
     const Task &task = step[i];
     id.Index = static_cast<int>(i);
-    absl::Duration takes = absl::InfiniteDuration();
+    absl::Duration duration = absl::InfiniteDuration();
     if (task.Took > absl::ZeroDuration())
-      takes = task.Took;
+      duration = task.Took;
     else if (task.What == JobScheduler::Phase::Running)
-      if (const auto whole =
-              S.Progress.whole({core::taskName(id), task.Progress.Run}))
-        takes = whole->AtMost;
-    like.ByIndex.push_back(takes);
-    if (takes != absl::InfiniteDuration())
-      like.Sorted.push_back(takes);
+      if (const auto bounds = Scheduler.Progress.durationBounds(
+              {core::taskName(id), task.Progress.Run}))
+        duration = bounds->AtMost;
+    peers.ByIndex.push_back(duration);
+    if (duration != absl::InfiniteDuration())
+      peers.Sorted.push_back(duration);
   }
-  std::sort(like.Sorted.begin(), like.Sorted.end());
+  std::sort(peers.Sorted.begin(), peers.Sorted.end());
 }
 
-// How long the task takes where all is well: as the middle one of its like in
-// the same step. Nothing when it has none that is far enough.
-std::optional<absl::Duration>
-RunJudge::soundTime(const Job &job, const TaskId &id, LikeTimes &like) const {
-  if (!like.Known)
-    findLikeTimes(job, id, like);
-  const std::vector<absl::Duration> &all = like.Sorted;
-  const absl::Duration own = like.ByIndex[static_cast<size_t>(id.Index)];
-  const bool counted = own != absl::InfiniteDuration();
-  const size_t others = all.size() - (counted ? 1 : 0);
+// Normal duration of a task: the median of the other tasks of the same step.
+// Returns nothing if none of them has progressed far enough.
+std::optional<absl::Duration> RunJudge::medianPeerTime(const Job &job,
+                                                       const TaskId &id,
+                                                       PeerTimes &peers) const {
+  if (!peers.Collected)
+    collectPeerTimes(job, id, peers);
+  const std::vector<absl::Duration> &all = peers.Sorted;
+  const absl::Duration own = peers.ByIndex[static_cast<size_t>(id.Index)];
+  const bool ownKnown = own != absl::InfiniteDuration();
+  const size_t others = all.size() - (ownKnown ? 1 : 0);
   if (others == 0)
     return std::nullopt;
   const size_t middle = others / 2;
-  // The task itself does not count: from its place on the rest moves up.
-  return counted && own <= all[middle] ? all[middle + 1] : all[middle];
+  // The task itself does not count: from its position on, the other tasks move
+  // up by one.
+  return ownKnown && own <= all[middle] ? all[middle + 1] : all[middle];
 }
 
-// Whether a run gets on so slowly that all of it would be done sooner anew at
-// a sound worker.
-bool RunJudge::crawls(const Job &job, const TaskId &id, const Task &task,
-                      LikeTimes &like) const {
-  if (task.Moves >= S.Policy.MostMoves)
+// Whether a run is so slow that restarting it on a sound worker would complete
+// the task sooner.
+bool RunJudge::isRunTooSlow(const Job &job, const TaskId &id, const Task &task,
+                            PeerTimes &peers) const {
+  if (task.Moves >= Scheduler.Policy.MostMoves)
     return false;
-  const auto whole = S.Progress.whole({core::taskName(id), task.Progress.Run});
-  if (!whole || S.isAway(job, id, task))
+  const auto bounds = Scheduler.Progress.durationBounds(
+      {core::taskName(id), task.Progress.Run});
+  if (!bounds || Scheduler.isAway(job, id, task))
     return false;
-  const absl::Duration takes = whole->AtLeast;
+  const absl::Duration duration = bounds->AtLeast;
   const core::StepSpec &spec = job.specOf(id);
   const absl::Duration estimate = absl::Milliseconds(spec.EstimateMs);
   const std::string &queue = job.Record.Spec.Queue;
-  absl::Duration sound = S.Estimates.expected(queue, estimate);
+  absl::Duration normalTime = Scheduler.Estimates.expected(queue, estimate);
   bool slow = false;
-  if (const auto middle = soundTime(job, id, like)) {
-    slow = takes > *middle * S.Policy.Progress.SlowFactor;
-    sound = *middle;
-  } else if (const auto most = S.Estimates.slowBeyond(queue, estimate)) {
-    slow = takes > *most;
+  if (const auto medianTime = medianPeerTime(job, id, peers)) {
+    slow = duration > *medianTime * Scheduler.Policy.Progress.SlowFactor;
+    normalTime = *medianTime;
+  } else if (const auto threshold =
+                 Scheduler.Estimates.slowThreshold(queue, estimate)) {
+    slow = duration > *threshold;
   }
-  const double left = (100 - task.Percent) / 100.0;
-  const absl::Duration anew =
-      spec.Checkpoints ? sound * left + S.Policy.Progress.Restore : sound;
-  return slow && takes * left > anew + S.Policy.MoveCost;
+  const double shareLeft = (100 - task.Percent) / 100.0;
+  const absl::Duration restartTime =
+      spec.Checkpoints
+          ? normalTime * shareLeft + Scheduler.Policy.Progress.Restore
+          : normalTime;
+  return slow && duration * shareLeft > restartTime + Scheduler.Policy.MoveCost;
 }
 
-// A worker that leaves takes with it what runs on it, and often its agent too:
-// the tasks were then started anew only after the time in which a silent worker
-// may keep them alive, 6 s later. What cannot be done by then is stopped
-// before: what saves its work as late as possible, as nothing is lost by that,
-// and the rest at once, as it would be thrown away whole.
-bool RunJudge::mustLeave(const Job &job, const TaskId &id,
-                         const Task &task) const {
-  const WorkerView *worker = S.Workers.find(task.Progress.Worker);
-  if (worker == nullptr || worker->LeavesAt == absl::InfiniteFuture())
+// Whether a run has to be stopped because it will not end before its worker
+// shuts down. A worker that shuts down ends the runs on it, and often its agent
+// goes with it: the tasks were then restarted only after the time for which an
+// unresponsive worker may keep them alive, 6 s later. Runs that cannot end in
+// time are therefore stopped before: those that write a checkpoint as late as
+// possible, as they lose nothing, the others at once, because all their work
+// would be lost anyway.
+bool RunJudge::mustEvacuate(const Job &job, const TaskId &id,
+                            const Task &task) const {
+  const WorkerView *worker = Scheduler.Workers.find(task.Progress.Worker);
+  if (worker == nullptr || worker->EarliestShutdown == absl::InfiniteFuture())
     return false;
-  const absl::Duration left = worker->LeavesAt - Now;
-  const absl::Duration toStop = S.Policy.StopTakes + StopOnItsWay;
-  if (remaining(job, id, task) < left - StopOnItsWay)
+  const absl::Duration timeLeft = worker->EarliestShutdown - Now;
+  const absl::Duration stopTime = Scheduler.Policy.StopTakes + StopDeliveryTime;
+  if (remainingTime(job, id, task) < timeLeft - StopDeliveryTime)
     return false;
   const core::StepSpec &spec = job.specOf(id);
-  return !spec.Checkpoints || left <= toStop;
+  return !spec.Checkpoints || timeLeft <= stopTime;
 }
 
-void RunJudge::restart(Job &job, const TaskId &id, Task &task,
-                       const std::string &why) {
+void RunJudge::requestRestart(Job &job, const TaskId &id, Task &task,
+                              const std::string &why) {
   if (job.specOf(id).Gang)
-    S.stopStep(job, id.Occurrence, id.Step, "a member " + why);
+    Scheduler.stopStep(job, id.Occurrence, id.Step, "a member " + why);
   else
-    S.requestStop(id, task, "it " + why);
+    Scheduler.requestStop(id, task, "it " + why);
 }
 
 void RunJudge::evacuate(Job &job, const TaskId &id, Task &task) {
-  const WorkerView *worker = S.Workers.find(task.Progress.Worker);
-  S.note(Decision::Kind::RunEvacuated, id.Job, core::taskName(id),
-         task.Progress.Run, task.Progress.Worker.Id, "",
-         {{"percent", task.Percent},
-          {"worker_leaves_in_ms",
-           absl::ToInt64Milliseconds(worker->LeavesAt - Now)},
-          {"worker_heard_ms_ago", S.heardMsAgo(worker->State.Life, Now)}});
-  restart(job, id, task, "would not be done before its worker leaves");
+  const WorkerView *worker = Scheduler.Workers.find(task.Progress.Worker);
+  Scheduler.note(
+      Decision::Kind::RunEvacuated, id.Job, core::taskName(id),
+      task.Progress.Run, task.Progress.Worker.Id, "",
+      {{"percent", task.Percent},
+       {"worker_leaves_in_ms",
+        absl::ToInt64Milliseconds(worker->EarliestShutdown - Now)},
+       {"worker_heard_ms_ago", Scheduler.heardMsAgo(worker->State.Life, Now)}});
+  requestRestart(job, id, task, "would not be done before its worker leaves");
 }
 
-void RunJudge::moveFromSlow(Job &job, const TaskId &id, Task &task,
-                            const std::string &why) {
+void RunJudge::quarantineAndRestart(Job &job, const TaskId &id, Task &task,
+                                    const std::string &why) {
   const std::string name = core::taskName(id);
-  S.note(Decision::Kind::RunStandsStill, id.Job, name, task.Progress.Run,
-         task.Progress.Worker.Id, absl::StrCat(why, " at ", task.Percent, "%"));
-  if (S.Workers.keepOut(task.Progress.Worker, Now))
-    S.note(Decision::Kind::WorkerKeptOut, id.Job, name, task.Progress.Run,
-           task.Progress.Worker.Id, why);
-  restart(job, id, task, why);
+  Scheduler.note(Decision::Kind::RunStandsStill, id.Job, name,
+                 task.Progress.Run, task.Progress.Worker.Id,
+                 absl::StrCat(why, " at ", task.Percent, "%"));
+  if (Scheduler.Workers.quarantine(task.Progress.Worker, Now))
+    Scheduler.note(Decision::Kind::WorkerKeptOut, id.Job, name,
+                   task.Progress.Run, task.Progress.Worker.Id, why);
+  requestRestart(job, id, task, why);
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/runjudge.h
+++ b/src/libs/jobs/runjudge.h
@@ -9,55 +9,59 @@
 
 namespace oriolebay::jobs {
 
-/// Judges what runs: how long it still needs, and whether it is better started
-/// anew elsewhere, because it stands still, crawls, or will not be done before
-/// its worker leaves. Works on the scheduler's state and lives for one tick().
+/// Monitors running tasks: predicts how long they still take, and restarts
+/// those elsewhere that are stalled, too slow, or will not end before their
+/// worker shuts down. Works on the scheduler's state and lives for one call of
+/// tick().
 class RunJudge {
 public:
-  RunJudge(JobScheduler &scheduler, absl::Time now) : S(scheduler), Now(now) {}
+  RunJudge(JobScheduler &scheduler, absl::Time now)
+      : Scheduler(scheduler), Now(now) {}
 
-  /// Asks for the stop of every run that is better started anew.
+  /// Requests the stop of every run that is better restarted elsewhere.
   void judge();
 
-  /// How long the run is expected to need still: by its rate once that shows,
-  /// else by what its queue's estimates have been worth.
-  absl::Duration remaining(const JobScheduler::Job &job, const core::TaskId &id,
-                           const JobScheduler::Task &task) const;
+  /// Expected remaining time of the run, derived from its rate of progress once
+  /// that is known, before that from the corrected estimate of its queue.
+  absl::Duration remainingTime(const JobScheduler::Job &job,
+                               const core::TaskId &id,
+                               const JobScheduler::Task &task) const;
 
 private:
   using Job = JobScheduler::Job;
   using Step = JobScheduler::Step;
   using Task = JobScheduler::Task;
 
-  /// How long the tasks of one step take.
-  struct LikeTimes {
-    bool Known = false;
-    /// Infinite where it does not show yet.
+  /// Durations of the tasks of one step.
+  struct PeerTimes {
+    bool Collected = false;
+    /// By index of the task; infinite where the duration is not known yet.
     std::vector<absl::Duration> ByIndex;
-    /// Those that show.
+    /// The known durations in ascending order.
     std::vector<absl::Duration> Sorted;
   };
 
-  void judgeStep(Job &job, const core::TaskId &first);
-  void judgeRun(Job &job, const core::TaskId &id, Task &task, LikeTimes &like);
-  bool standsStill(const Job &job, const core::TaskId &id,
-                   const Task &task) const;
-  static bool behindItsGang(const Step &step, const Task &task);
-  bool crawls(const Job &job, const core::TaskId &id, const Task &task,
-              LikeTimes &like) const;
-  void findLikeTimes(const Job &job, const core::TaskId &first,
-                     LikeTimes &like) const;
-  std::optional<absl::Duration>
-  soundTime(const Job &job, const core::TaskId &id, LikeTimes &like) const;
-  bool mustLeave(const Job &job, const core::TaskId &id,
-                 const Task &task) const;
-  void restart(Job &job, const core::TaskId &id, Task &task,
-               const std::string &why);
-  void moveFromSlow(Job &job, const core::TaskId &id, Task &task,
-                    const std::string &why);
+  void checkStep(Job &job, const core::TaskId &first);
+  void checkRun(Job &job, const core::TaskId &id, Task &task, PeerTimes &peers);
+  bool isRunStalled(const Job &job, const core::TaskId &id,
+                    const Task &task) const;
+  static bool isBehindGang(const Step &step, const Task &task);
+  bool isRunTooSlow(const Job &job, const core::TaskId &id, const Task &task,
+                    PeerTimes &peers) const;
+  void collectPeerTimes(const Job &job, const core::TaskId &first,
+                        PeerTimes &peers) const;
+  std::optional<absl::Duration> medianPeerTime(const Job &job,
+                                               const core::TaskId &id,
+                                               PeerTimes &peers) const;
+  bool mustEvacuate(const Job &job, const core::TaskId &id,
+                    const Task &task) const;
+  void requestRestart(Job &job, const core::TaskId &id, Task &task,
+                      const std::string &why);
+  void quarantineAndRestart(Job &job, const core::TaskId &id, Task &task,
+                            const std::string &why);
   void evacuate(Job &job, const core::TaskId &id, Task &task);
 
-  JobScheduler &S;
+  JobScheduler &Scheduler;
   const absl::Time Now;
 };
 
--- a/src/libs/jobs/speedbook.h
+++ b/src/libs/jobs/speedbook.h
@@ -10,60 +10,66 @@
 
 namespace oriolebay::jobs {
 
-/// How speeds are learned.
+/// Parameters for learning the speeds of workers.
 struct SpeedPolicy {
-  /// Ends that count as if the worker had been seen at the usual speed: tasks
-  /// of one step differ among themselves, so that one end says little.
-  double UsualBefore = 2;
-  /// No more ends than this weigh against a new one, so that a worker that has
-  /// turned slow, or sound again, shows within as many.
-  double MostEnds = 12;
-  /// A worker is slow from so many times the usual time on.
-  double SlowFrom = 1.12;
-  /// Ends of a step that a new one is compared with.
-  size_t MostCompared = 16;
+  /// Number of ends at the median speed that every worker is credited with
+  /// initially. Tasks of one step differ among themselves, so a single end says
+  /// little.
+  double PriorEnds = 2;
+  /// Maximum number of earlier ends that are weighed against a new one, so that
+  /// a worker that has become slow or fast again is detected within that many
+  /// ends.
+  double MaxEnds = 12;
+  /// A worker is slow if its tasks take this many times as long as on the
+  /// median worker.
+  double SlowThreshold = 1.12;
+  /// Maximum number of ends of the same step that a new one is compared with.
+  size_t MaxComparedEnds = 16;
 };
 
-/// Learns how fast workers are, by comparing tasks of one step that ran on
-/// different workers: what callers estimate is off by far more than workers
-/// differ. A worker is named by the agent beside it, as its speed stays with
-/// the host.
+/// Learns how fast workers are by comparing tasks of one step that ran on
+/// different workers, because the estimates of callers are off by far more than
+/// workers differ. A worker is identified by the agent beside it, because its
+/// speed is a property of the host.
 class SpeedBook {
 public:
   explicit SpeedBook(SpeedPolicy policy = {}) : Policy(policy) {}
 
-  /// A task of that step takes so long at the worker, in one run.
+  /// Records that a task of the step takes the given time on the worker, in one
+  /// run.
   void took(const std::string &step, const std::string &worker,
-            absl::Duration whole);
-  /// What an earlier leader had learned; ignored where this one knows more.
+            absl::Duration duration);
+  /// Takes over what an earlier leader has learned about a worker. Ignored if
+  /// this leader has seen at least as many ends there.
   void recall(const std::string &worker, const endpoints::LearnedSpeed &speed);
   endpoints::LearnedSpeed learned(const std::string &worker) const;
-  /// No task of the step will end any more.
+  /// Discards the ends of a step of which no further task will end.
   void forget(const std::string &step);
 
-  /// How many times as long as on the middle one of the known workers work
-  /// takes there; 1 while too little is known.
+  /// How many times as long tasks take on the worker as on the median one of
+  /// the known workers; 1 while too little is known.
   double slowness(const std::string &worker) const;
   bool isSlow(const std::string &worker) const {
-    return slowness(worker) >= Policy.SlowFrom;
+    return slowness(worker) >= Policy.SlowThreshold;
   }
 
 private:
   using Learned = endpoints::LearnedSpeed;
   struct End {
     std::string Worker;
-    double LogTook = 0;
+    double LogDuration = 0;
   };
 
-  double weightOfNext(const Learned &worker) const;
-  double usual() const;
+  double weightOfNextEnd(const Learned &worker) const;
+  double medianLog() const;
 
   const SpeedPolicy Policy;
   std::map<std::string, Learned> Workers;
   std::map<std::string, std::deque<End>> Steps;
-  /// The middle one of all workers; worked out when it is asked for.
-  mutable bool UsualKnown = false;
-  mutable double Usual = 0;
+  /// Median of the learned values (logarithms) of all workers, computed on
+  /// demand.
+  mutable bool MedianKnown = false;
+  mutable double Median = 0;
 };
 
 } // namespace oriolebay::jobs
