--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -17,9 +17,10 @@
     : Scheduler(scheduler), Now(now) {
   for (const auto &[incarnation, view] : Scheduler.Workers.workers())
     if (Scheduler.Workers.usable(view, now))
-      Candidates.push_back(
-          {&view, view.room(), view.room(), absl::InfiniteDuration(),
-           Scheduler.Speeds.isSlow(view.Agent), -1, view.FailedInARow > 0});
+      Candidates.push_back({&view, view.room(), view.room(),
+                            absl::InfiniteDuration(),
+                            Scheduler.Speeds.isSlow(view.Agent), -1,
+                            view.ConsecutiveFailures > 0});
   SiteDomain.emplace_back();
   std::map<std::string_view, int> rackIndices;
   for (size_t c = 0; c < Candidates.size(); ++c) {
