--- a/src/libs/jobs/fleet.cpp
+++ b/src/libs/jobs/fleet.cpp
@@ -4,8 +4,8 @@
 
 namespace oriolebay::jobs {
 
-// An agent that has just started has no contact with its worker yet. Its report
-// says nothing about an incarnation that was known before.
+// An agent that has just started has not received a heartbeat of its worker
+// yet. Its report then says nothing about an incarnation that was known before.
 std::optional<endpoints::LifeEnd> endOf(const endpoints::WorkerReport &report,
                                         const WorkerLife &incarnation) {
   for (const endpoints::LifeEnd &end : report.EndedLives)
@@ -46,8 +46,8 @@
       report.Worker.Draining
           ? now + absl::Milliseconds(report.Worker.RemainingMs)
           : absl::InfiniteFuture();
-  // While the agent cannot reach the worker, its tasks are not kept alive any
-  // longer.
+  // While the agent cannot reach the worker, the leader does not extend the
+  // grant that keeps its tasks alive.
   if (report.Reachable || worker.LostAt == absl::Time())
     worker.LostAt = now + Policy.LostAfter;
   return ended;
--- a/src/libs/jobs/fleet.h
+++ b/src/libs/jobs/fleet.h
@@ -44,7 +44,8 @@
   bool Fenced = false;
   /// Its agent can reach it.
   bool Reachable = true;
-  /// Time by which its tasks have ended unless it reports again.
+  /// Time by which its tasks have ended unless its agent reports it as
+  /// reachable again.
   absl::Time LostAt;
   /// Resources of the runs on the worker, held until their end is listed or
   /// they are known not to run.
--- a/src/libs/jobs/planner.h
+++ b/src/libs/jobs/planner.h
@@ -79,8 +79,8 @@
     /// Hosts (by agent) where its tasks may have crashed a worker. Empty when
     /// the other hosts could not hold it.
     std::set<std::string> AvoidHosts = {};
-    /// How long it can wait before its job misses its deadline. Other work of
-    /// priority 0 is placed by least slack first.
+    /// How long it can wait before its job misses its deadline. Among other
+    /// work of priority 0, the unit with the least slack is placed first.
     absl::Duration Slack = absl::ZeroDuration();
     /// Number of its tasks that must run at the same time, from now or from
     /// the end of the slack, for its job to meet the deadline. The other tasks
@@ -124,7 +124,8 @@
     double LostWork = 0;
     /// Expected time until it ends if it is not stopped.
     absl::Duration TimeLeft = absl::ZeroDuration();
-    /// Its stop has been requested, for a gang that of all its tasks.
+    /// A stop has been requested, in the case of a gang for all its running
+    /// tasks.
     bool Stopping = true;
     /// Lists each candidate once.
     std::vector<std::pair<size_t, core::Resources>> FreedResources = {};
@@ -149,7 +150,8 @@
     std::vector<const RunningUnit *> EndingUnits;
     /// Work lost if the ending units are stopped, in core-seconds.
     double LostWork = 0;
-    /// Expected time until all of them have ended without a stop.
+    /// Expected time until all of them have ended without further stops. Set to
+    /// zero once their stops are requested.
     absl::Duration Wait = absl::ZeroDuration();
   };
 
@@ -161,8 +163,8 @@
   void markRecentStart(size_t candidateIndex, const PlacementUnit &unit);
   bool canStartOn(const Candidate &candidate, const PlacementUnit &unit) const;
   /// What the start of a suspect task would put at risk: other work on the
-  /// worker, and its own job if the host crashes workers by itself. 0 for other
-  /// units; smaller is better.
+  /// worker, and its own job if a worker crashed on the host recently, so that
+  /// the next one may crash by itself. 0 for other units; smaller is better.
   int crashRisk(const Candidate &candidate, const PlacementUnit &unit) const;
   int64_t taskCapacityIfEmpty(const PlacementUnit &unit) const;
   void rankJobs();
--- a/src/libs/jobs/planner_room.cpp
+++ b/src/libs/jobs/planner_room.cpp
@@ -28,8 +28,9 @@
 
 } // namespace
 
-// Only large units get reservations. Small ones fit in as other tasks end;
-// reserving capacity for them would only delay other work.
+// Whether unit needs more than half the accelerators of the largest worker.
+// Smaller units fit in as other tasks end; reserving capacity for them while
+// they wait would only delay other work.
 bool Planner::isLarge(const PlacementUnit &unit) const {
   int64_t maxAccelerators = 0;
   for (const auto &[incarnation, view] : Scheduler.Workers.workers())
@@ -138,8 +139,9 @@
 }
 
 // Running work that can be stopped for unit: units that are already being
-// stopped and those of a lower class than unit. Sorted by lost work, so that
-// units that are being stopped come first, then the least urgent first.
+// stopped and those that are less urgent than unit. Sorted by lost work, which
+// is 0 for units that are already being stopped; at equal lost work the least
+// urgent come first.
 const Planner::SortedUnits &Planner::stoppableUnits(const PlacementUnit &unit) {
   collectRunningUnits();
   auto cached = CachedStoppableUnits.find(unit.Rank);
@@ -246,7 +248,8 @@
 }
 
 // Drops running units whose end turned out not to be needed. Goes through them
-// in reverse order, so that the most expensive ones are dropped first.
+// in reverse order, so that those with the highest cost (lost work, or time
+// until the end) are dropped first.
 void Planner::pruneEndingUnits(const PlacementUnit &unit,
                                const TopologyDomain &domain, int64_t fitting,
                                CapacityPlan &plan) {
@@ -389,8 +392,8 @@
          Scheduler.Policy.WasteForOwnWork * ownWork;
 }
 
-// Whether unit is within a guarantee and would get its capacity later than the
-// guarantee allows if nothing is stopped for it.
+// Whether unit is within a guarantee and would get its capacity later than
+// ReclaimAfter after the arrival of its job if nothing more is stopped for it.
 bool Planner::isGuaranteeAtRisk(
     const PlacementUnit &unit,
     const std::optional<CapacityPlan> &waitPlan) const {
@@ -410,9 +413,10 @@
          waitPlan->Wait * 2 <= unit.Slack;
 }
 
-// Stops are worthwhile for a job that meets its deadline with them and would
-// miss it otherwise, if they lose a limited amount of work. Any amount is
-// acceptable if a guarantee would be violated otherwise.
+// Whether the stops of stopPlan are worthwhile for a unit whose job would miss
+// its deadline without them: they are meant to let the job meet its deadline,
+// which is not checked here, and must not lose more work than maxLostWork().
+// Any amount is acceptable if a guarantee would be violated otherwise.
 bool Planner::isWorthStopping(
     const PlacementUnit &unit, const CapacityPlan &stopPlan,
     const std::optional<CapacityPlan> &waitPlan) const {
@@ -428,7 +432,7 @@
 //
 // Without a reservation for capacity that is about to become free, the capacity
 // freed by the first stops was given to other small tasks, which were stopped
-// in turn, up to twelve times in a test.
+// in turn, twelve times in a test.
 //
 // A new leader learns about its workers one after another. Stops wait until all
 // workers have had time to report, unless a guarantee is at risk: a leader that
--- a/src/libs/jobs/planner_suspects.cpp
+++ b/src/libs/jobs/planner_suspects.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// What the start of a suspect task puts at risk: other work on the same
-/// worker, and its own job if the host crashes workers by itself.
+/// worker, and its own job on a host where the worker may crash by itself.
 constexpr int RiskToOtherWork = 1;
 constexpr int RiskOfHostCrash = 2;
 
--- a/src/libs/jobs/progress.cpp
+++ b/src/libs/jobs/progress.cpp
@@ -41,7 +41,8 @@
                                         absl::Time now) const {
   return std::any_of(Runs.begin(), Runs.end(), [&](const auto &entry) {
     const TrackedRun &tracked = entry.second;
-    // A run that has been reported only once has not shown any progress.
+    // The first report of a run sets LastIncrease as well, but does not show
+    // any progress.
     return tracked.Worker == worker && tracked.Percent > tracked.FirstPercent &&
            now - tracked.LastIncrease < Policy.StalledAfter;
   });
--- a/src/libs/jobs/progress.h
+++ b/src/libs/jobs/progress.h
@@ -17,11 +17,11 @@
   /// are polled twice a second and a task of 30 s progresses by a percent in
   /// 0.3 s, so several polls should have shown an increase within this time.
   absl::Duration StalledAfter = absl::Milliseconds(1300);
-  /// Share of the estimated duration that is used instead if it is longer, for
-  /// long tasks.
+  /// Share of the estimated duration that replaces StalledAfter for long tasks,
+  /// where it is longer.
   double StalledEstimateShare = 0.05;
-  /// Time to restore a checkpoint, by which the progress of a resumed run
-  /// starts later.
+  /// Time to restore a checkpoint. The progress of a resumed run starts this
+  /// much later.
   absl::Duration Restore = absl::Milliseconds(600);
   /// Minimum time over which the rate of progress is computed: two polls.
   absl::Duration MinRateWindow = absl::Milliseconds(900);
@@ -97,7 +97,7 @@
 public:
   explicit EstimateBook(ProgressPolicy policy) : Policy(policy) {}
 
-  /// Records that a task with the given estimate has taken the time took.
+  /// Records the actual duration, took, of a task with the given estimate.
   void ended(const std::string &queue, absl::Duration estimate,
              absl::Duration took);
   /// Duration from which a task is slower than the error of its estimate
--- a/src/libs/jobs/promise.h
+++ b/src/libs/jobs/promise.h
@@ -23,8 +23,9 @@
 /// Returns the expected duration of a task of the step.
 using TaskTime = std::function<absl::Duration(const core::StepSpec &)>;
 
-/// Deadline of a job: it is on time if it ends within Within of its submission,
-/// and is nearly worthless to its caller after WorthlessAfter.
+/// Deadline of a job: it is on time if it ends at most Within after its
+/// submission, and is nearly worthless to its caller if it ends more than
+/// WorthlessAfter after its submission.
 struct Promise {
   /// Length of the critical path through the steps, with wide steps counted in
   /// waves.
--- a/src/libs/jobs/runjudge.h
+++ b/src/libs/jobs/runjudge.h
@@ -9,10 +9,10 @@
 
 namespace oriolebay::jobs {
 
-/// Monitors running tasks: predicts how long they still take, and restarts
-/// those elsewhere that are stalled, too slow, or will not end before their
-/// worker shuts down. Works on the scheduler's state and lives for one call of
-/// tick().
+/// Monitors running tasks: predicts how long they still take, and requests the
+/// stop of those that are better restarted elsewhere because they are stalled,
+/// too slow, or will not end before their worker shuts down. Works on the
+/// scheduler's state and lives for one call of tick().
 class RunJudge {
 public:
   RunJudge(JobScheduler &scheduler, absl::Time now)
@@ -22,7 +22,8 @@
   void judge();
 
   /// Expected remaining time of the run, derived from its rate of progress once
-  /// that is known, before that from the corrected estimate of its queue.
+  /// that is known. Before that, derived from its estimate, corrected by the
+  /// error that the estimates of its queue have had.
   absl::Duration remainingTime(const JobScheduler::Job &job,
                                const core::TaskId &id,
                                const JobScheduler::Task &task) const;
--- a/src/libs/jobs/speedbook.h
+++ b/src/libs/jobs/speedbook.h
@@ -12,13 +12,13 @@
 
 /// Parameters for learning the speeds of workers.
 struct SpeedPolicy {
-  /// Number of ends at the median speed that every worker is credited with
+  /// Number of ends at the usual speed that every worker is credited with
   /// initially. Tasks of one step differ among themselves, so a single end says
   /// little.
   double PriorEnds = 2;
   /// Maximum number of earlier ends that are weighed against a new one, so that
-  /// a worker that has become slow or fast again is detected within that many
-  /// ends.
+  /// a worker that has become slow, or has recovered, is detected within that
+  /// many ends.
   double MaxEnds = 12;
   /// A worker is slow if its tasks take this many times as long as on the
   /// median worker.
