--- a/src/libs/core/answer.h
+++ b/src/libs/core/answer.h
@@ -8,12 +8,13 @@
 
 namespace oriolebay::core {
 
-/// What became of a job. NotRun promises that no member ran; Failed means some
-/// member started and did not finish well; InProgress answers a retry of a
-/// non-idempotent request whose first attempt has not ended yet.
+/// Outcome of a job. NotRun guarantees that no member ran. Failed means that at
+/// least one member started and did not finish successfully. InProgress answers
+/// a retry of a non-idempotent request whose first attempt has not ended yet.
 enum class Outcome { Done, Failed, NotRun, InProgress };
 
-/// Why a job did not run, so that a caller knows whether to come back.
+/// Reason why a job did not run. It tells the caller whether a retry makes
+/// sense.
 enum class NotRunReason {
   None,
   InvalidRequest,
@@ -28,7 +29,7 @@
   Cancelled,
 };
 
-/// The answer of one gang member's task, as its endpoint's back end gave it.
+/// Result of one gang member's task as returned by its endpoint's back end.
 struct MemberResult {
   int Member = 0;
   std::string WorkerId;
@@ -38,8 +39,8 @@
   auto operator<=>(const MemberResult &) const = default;
 };
 
-/// The whole answer to one caller's job. RetryAfterMs says when to come back
-/// for NotRun answers that may succeed later; zero means do not retry.
+/// Complete answer to a caller's job. RetryAfterMs is the delay in milliseconds
+/// before a NotRun job should be retried; zero means do not retry.
 struct JobAnswer {
   std::string JobId;
   Outcome Result = Outcome::NotRun;
@@ -51,7 +52,8 @@
   auto operator<=>(const JobAnswer &) const = default;
 };
 
-/// The answer of a job of which nothing ran. RetryAfterMs as in JobAnswer.
+/// Returns the answer for a job of which no member ran. RetryAfterMs is as in
+/// JobAnswer.
 inline JobAnswer notRun(std::string jobId, NotRunReason reason,
                         std::string detail, int64_t retryAfterMs) {
   return {std::move(jobId),  Outcome::NotRun, reason,
--- a/src/libs/core/codec.h
+++ b/src/libs/core/codec.h
@@ -10,10 +10,11 @@
 
 #include <nlohmann/json.hpp>
 
-// JSON forms of the core values, in snake_case keys. The same forms travel as
-// CBOR between the system's processes and as JSON to callers and the store.
-// Reading throws nlohmann::json::exception on a missing key or a wrong type;
-// callers turn that into a typed error at their boundary.
+// JSON representation of the core types, with keys in snake_case. The same
+// representation is sent as CBOR between the system's processes and as JSON to
+// callers and to the store. Parsing throws nlohmann::json::exception on a
+// missing key or a wrong type; callers of these functions convert that into a
+// typed error at their boundary.
 namespace oriolebay::core {
 
 NLOHMANN_JSON_SERIALIZE_ENUM(JobClass, {{JobClass::Urgent, "urgent"},
--- a/src/libs/core/job.h
+++ b/src/libs/core/job.h
@@ -8,14 +8,15 @@
 
 namespace oriolebay::core {
 
-/// How a job is ordered: urgent work first, batch work by its deadline.
+/// Scheduling class of a job: urgent work is ordered first, batch work by its
+/// deadline.
 enum class JobClass { Urgent, Batch };
 
-/// A caller's request to run a gang. IdempotencyKey is required when
-/// Idempotent is false: the system then runs the request at most once, and a
-/// retry with the same key gets the first answer. DeadlineUnixMs is the wall
-/// clock time in milliseconds by which batch work should finish; zero means
-/// none. Payload is handed to the endpoint's back end unchanged.
+/// A caller's request to run a gang. IdempotencyKey is required when Idempotent
+/// is false: the system then runs the request at most once, and a retry with
+/// the same key gets the first answer. DeadlineUnixMs is the wall clock time in
+/// milliseconds by which batch work should finish; zero means no deadline.
+/// Payload is passed unchanged to the endpoint's back end.
 struct JobRequest {
   std::string Id;
   std::string Organisation;
--- a/src/libs/core/jobspec.cpp
+++ b/src/libs/core/jobspec.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-int64_t countOf(int64_t need, int64_t have, int64_t most) {
-  // Mostly one is asked for, which takes no division.
-  if (need * most <= have)
-    return most;
-  return need <= 0 ? most : have / need;
+int64_t countOf(int64_t need, int64_t available, int64_t maxCount) {
+  // Callers mostly ask for one, which needs no division.
+  if (need * maxCount <= available)
+    return maxCount;
+  return need <= 0 ? maxCount : available / need;
 }
 
 std::string validateStep(const StepSpec &step, int number) {
@@ -75,10 +75,10 @@
   return out;
 }
 
-int64_t Resources::countIn(const Resources &room, int64_t most) const {
-  int64_t n = countOf(MilliCores, room.MilliCores, most);
-  n = countOf(MemoryMb, room.MemoryMb, n);
-  n = countOf(Accelerators, room.Accelerators, n);
+int64_t Resources::countIn(const Resources &available, int64_t maxCount) const {
+  int64_t n = countOf(MilliCores, available.MilliCores, maxCount);
+  n = countOf(MemoryMb, available.MemoryMb, n);
+  n = countOf(Accelerators, available.Accelerators, n);
   return std::max<int64_t>(n, 0);
 }
 
@@ -125,10 +125,10 @@
   for (int *number : {&task.Occurrence, &task.Step, &task.Index}) {
     if (at == end || *at != '.')
       return false;
-    const auto [behind, ec] = std::from_chars(at + 1, end, *number);
+    const auto [next, ec] = std::from_chars(at + 1, end, *number);
     if (ec != std::errc())
       return false;
-    at = behind;
+    at = next;
   }
   if (at != end)
     return false;
--- a/src/libs/core/jobspec.h
+++ b/src/libs/core/jobspec.h
@@ -8,16 +8,17 @@
 
 namespace oriolebay::core {
 
-/// What a task takes, or a worker has: thousandths of a core, memory in MB,
-/// and accelerators.
+/// Resources that a task takes or that a worker has: thousandths of a core,
+/// memory in MB, and number of accelerators.
 struct Resources {
   int64_t MilliCores = 0;
   int64_t MemoryMb = 0;
   int64_t Accelerators = 0;
 
-  bool fitsIn(const Resources &room) const {
-    return MilliCores <= room.MilliCores && MemoryMb <= room.MemoryMb &&
-           Accelerators <= room.Accelerators;
+  bool fitsIn(const Resources &available) const {
+    return MilliCores <= available.MilliCores &&
+           MemoryMb <= available.MemoryMb &&
+           Accelerators <= available.Accelerators;
   }
   Resources &operator+=(const Resources &o) {
     MilliCores += o.MilliCores;
@@ -31,46 +32,58 @@
     Accelerators -= o.Accelerators;
     return *this;
   }
-  /// How many of these fit into room, at most most.
-  int64_t countIn(const Resources &room, int64_t most) const;
+  /// Returns how many times these resources fit into available, at most
+  /// maxCount.
+  int64_t countIn(const Resources &available, int64_t maxCount) const;
 
   auto operator<=>(const Resources &) const = default;
 };
 
-/// One step of a job: Count tasks alike.
+/// One step of a job, which consists of Count identical tasks.
 struct StepSpec {
   int Count = 1;
   Resources PerTask;
-  /// The caller's rough estimate of a task's duration, off by half or more.
+  /// The caller's estimate of a task's duration. It may be wrong by half or
+  /// more.
   int64_t EstimateMs = 0;
-  /// Earlier steps (from 0) whose tasks must all be done first.
+  /// Indices (from 0) of earlier steps whose tasks must all be done before this
+  /// step starts.
   std::vector<int> After;
-  /// The tasks save their progress and can go on from it.
+  /// The tasks save their progress and can resume from it.
   bool Checkpoints = false;
-  /// The tasks run together or not at all, and end together.
+  /// The tasks form a gang: they run together or not at all, and end together.
   bool Gang = false;
-  /// The tasks run several times as long when they stand on several racks.
+  /// The tasks take several times as long when they are spread over several
+  /// racks.
   bool SameRack = false;
-  /// A label that the worker must have; empty: any worker.
+  /// Label that a worker must have to run the tasks; empty means any worker.
   std::string NeedsLabel;
-  /// The rack with the tasks' data; elsewhere they run several times as long.
+  /// Rack that holds the tasks' data. On other racks the tasks take several
+  /// times as long.
   std::string DataRack;
-  /// At most this many tasks of the step on one worker; zero: no limit.
+  /// Maximum number of the step's tasks on one worker; zero means no limit.
   int MaxPerWorker = 0;
-  /// Copies of a task may run side by side; the first to finish counts.
+  /// Several copies of a task may run at the same time; the first to finish
+  /// counts.
   bool Copies = false;
-  /// The tasks run until the job is cancelled, however often they end.
+  /// The tasks run until the job is cancelled and are restarted whenever they
+  /// end.
   bool LongRunning = false;
-  /// What the tasks run: those with the same image behave alike.
+  /// Image that the tasks run. Tasks with the same image are expected to behave
+  /// alike.
   std::string Image;
-  /// Bound on the tail latency of a long-running task that serves; zero: none.
+  /// Upper bound on the tail latency of a long-running task that serves
+  /// requests; zero means none.
   int64_t TargetMs = 0;
-  /// The tasks use what cores the others leave; their cores are not counted.
+  /// The tasks only use cores that other tasks leave idle, so their cores do
+  /// not count against a worker's capacity.
   bool FillsIdle = false;
-  /// So many long-running tasks may be away at once by the system's doing.
+  /// Maximum number of long-running tasks of the step that may be unavailable
+  /// at the same time because the system stopped or moved them.
   int MayMiss = 0;
 
-  /// What a task takes of a worker's counted room.
+  /// Returns the resources that a task takes from a worker's capacity. Cores of
+  /// tasks that only use idle cores are not counted.
   Resources room() const {
     Resources r = PerTask;
     if (FillsIdle)
@@ -81,18 +94,19 @@
   auto operator<=>(const StepSpec &) const = default;
 };
 
-/// A job as its caller handed it in. Its tasks are named by the occurrence (0
-/// unless the job repeats), the step and the index.
+/// A job as submitted by its caller. A task is identified by its occurrence (0
+/// unless the job repeats), its step and its index in the step.
 struct JobSpec {
-  /// Chosen by the caller; handing the same id in again is the same job.
+  /// Chosen by the caller. Submitting the same id again refers to the same job.
   std::string Id;
   std::string Organisation;
   std::string Queue;
-  /// Passed on to each task as it is.
+  /// Passed unchanged to each task.
   std::string Payload;
   std::vector<StepSpec> Steps;
-  /// How often the steps run; zero: once, at once. Occurrence K is due at
-  /// FirstDueMs + K * IntervalMs, in milliseconds since 1970.
+  /// Number of times that the steps run; zero means once and immediately.
+  /// Occurrence K is due at FirstDueMs + K * IntervalMs, in milliseconds since
+  /// 1970.
   int Repeats = 0;
   int64_t FirstDueMs = 0;
   int64_t IntervalMs = 0;
@@ -101,21 +115,22 @@
   auto operator<=>(const JobSpec &) const = default;
 };
 
-/// Bounds on one job, so that a single call cannot fill the system.
+/// Limits on one job, which keep a single call from filling the system.
 constexpr int MaxStepsPerJob = 64;
 constexpr int MaxTasksPerJob = 4096;
 constexpr size_t MaxPayloadBytes = 4000;
 constexpr int MaxRepeats = 1000;
 
-/// Why spec cannot be accepted, naming what to change; empty when it can.
+/// Returns why spec cannot be accepted and what to change; empty when it is
+/// valid.
 std::string validate(const JobSpec &spec);
 
-/// What spec asks for, short enough for one log line: for each step the tasks,
-/// what each takes (thousandths of a core, MB, accelerators), the estimate, and
-/// what binds them.
+/// Returns a summary of spec that fits on one log line. It lists for each step
+/// the number of tasks, the resources of a task (thousandths of a core, MB,
+/// accelerators), the estimate, and the placement constraints.
 std::string summary(const JobSpec &spec);
 
-/// Names one task of a job.
+/// Identifies one task of a job.
 struct TaskId {
   std::string Job;
   int Occurrence = 0;
@@ -125,9 +140,11 @@
   auto operator<=>(const TaskId &) const = default;
 };
 
-/// "JOB.OCCURRENCE.STEP.INDEX", the name that endpoints know a task by.
+/// Returns "JOB.OCCURRENCE.STEP.INDEX", the name by which endpoints identify a
+/// task.
 std::string taskName(const TaskId &task);
-/// The task that name names; false when it is no such name.
+/// Parses a task name into task. Returns false when name is not a valid task
+/// name.
 bool parseTaskName(const std::string &name, TaskId &task);
 
 } // namespace oriolebay::core
--- a/src/libs/core/siteconfig.h
+++ b/src/libs/core/siteconfig.h
@@ -8,32 +8,32 @@
 
 namespace oriolebay::core {
 
-/// A queue as the operator configures it. Callers reach it by host and path
+/// A queue as configured by the operator. Callers address it by host and path
 /// prefix; its tasks run on the endpoints of Service.
 struct QueueConfig {
   std::string Name;
   std::string Host;
   std::string Prefix;
   std::string Service;
-  /// Zero comes first and may have other work stopped for it.
+  /// Zero is the highest priority; other work may be stopped for it.
   int Priority = 0;
-  /// A task that failed so often fails its job.
+  /// Number of failed attempts of a task after which its job fails.
   int Attempts = 1;
-  /// Calls need no key.
+  /// Calls to this queue need no API key.
   bool Public = false;
   int64_t TimeoutMs = 0;
   int64_t TargetLatencyMs = 0;
-  /// A job is in time within Stretch times its longest chain of work plus
-  /// TargetLatencyMs.
+  /// A job meets its deadline if it takes at most Stretch times the duration of
+  /// its critical path plus TargetLatencyMs.
   double Stretch = 1.0;
-  /// Which workers may run a step is asked of the advice service.
+  /// The advice service is asked which workers may run a step.
   bool NeedsAdvice = false;
 
   auto operator<=>(const QueueConfig &) const = default;
 };
 
-/// An organisation, its keys, and the accelerators that are its own for work
-/// of priority 0.
+/// An organisation, its API keys, and the number of accelerators that are
+/// guaranteed to its work of priority 0.
 struct OrganisationConfig {
   std::string Name;
   std::vector<std::string> Keys;
@@ -42,9 +42,10 @@
   auto operator<=>(const OrganisationConfig &) const = default;
 };
 
-/// Which configuration something was decided by. Revision, the store's of the
-/// configuration's key, tells which of two is newer; an operator may write one
-/// version twice.
+/// Identifies the configuration that a decision is based on. Revision is the
+/// store's revision of the configuration's key and tells which of two
+/// configurations is newer; Version does not, because an operator may write the
+/// same version twice.
 struct ConfigStamp {
   int64_t Revision = 0;
   int64_t Version = 0;
@@ -52,18 +53,19 @@
   auto operator<=>(const ConfigStamp &) const = default;
 };
 
-/// The operator's configuration at one version. Versions only grow.
+/// The operator's configuration at one version. Versions only increase.
 struct SiteConfig {
   int64_t Version = 0;
   std::vector<QueueConfig> Queues;
   std::vector<OrganisationConfig> Organisations;
   size_t MaxBodyBytes = 1 << 20;
 
-  /// The queue of host with the longest prefix that path begins with, or null.
+  /// Returns the queue of host with the longest prefix that path begins with,
+  /// or null.
   const QueueConfig *route(const std::string &host,
                            const std::string &path) const;
   const QueueConfig *queue(const std::string &name) const;
-  /// Whose key it is, or null.
+  /// Returns the organisation that key belongs to, or null.
   const OrganisationConfig *owner(const std::string &key) const;
   const OrganisationConfig *organisation(const std::string &name) const;
 
--- a/src/libs/core/workerinfo.h
+++ b/src/libs/core/workerinfo.h
@@ -5,8 +5,8 @@
 
 namespace oriolebay::core {
 
-/// A worker as its agent announces it: where it stands in the topology and what
-/// it offers. Address is the agent's nng address, taken from its settings.
+/// A worker as announced by its agent: its place in the topology and its
+/// accelerators. Address is the agent's nng address from its settings.
 struct WorkerInfo {
   std::string Id;
   std::string FailureDomain;
--- a/src/libs/operators/configfollower.cpp
+++ b/src/libs/operators/configfollower.cpp
@@ -14,76 +14,80 @@
                                const platform::Store &store,
                                ConfigSource source, OnConfig onConfig,
                                OnRefused onRefused, OnOutdated onOutdated,
-                               OnTrouble onTrouble)
+                               OnStoreError onStoreError)
     : Loop(loop), Calls(store), Source(std::move(source)),
-      Changed(std::move(onConfig)), Refused(std::move(onRefused)),
-      Outdated(std::move(onOutdated)), Trouble(std::move(onTrouble)),
+      NotifyChanged(std::move(onConfig)), NotifyRefused(std::move(onRefused)),
+      NotifyOutdated(std::move(onOutdated)),
+      NotifyStoreError(std::move(onStoreError)),
       Follower(
           loop, store, Source.Key, Source.Follow,
           [this](const platform::StoreEvent &event) {
             if (event.Item.Key == Source.Key && !event.Deleted)
-              take(event.Item);
+              applyConfig(event.Item);
           },
           [this](int64_t) { confirm([](bool) {}); },
           [this](StoreStatus status, const std::string &why) {
-            Trouble(status, why);
+            NotifyStoreError(status, why);
           }) {}
 
 ConfigFollower::~ConfigFollower() { *Alive = false; }
 
 void ConfigFollower::start() {
   Follower.start();
-  confirmLater();
+  scheduleConfirmation();
 }
 
-void ConfigFollower::take(const platform::KeyValue &item) {
+void ConfigFollower::applyConfig(const platform::KeyValue &item) {
   if (item.ModRevision <= SeenRevision)
     return;
   SeenRevision = item.ModRevision;
   utils::handle<bool>(
       [&]() -> utils::Result<bool> {
         BOOST_LEAF_AUTO(config, Source.Decode(item.Value));
-        // Versions only grow; a lower one here is a mistake of its writer.
+        // Versions only increase; a lower one is a mistake of the operator who
+        // wrote it.
         if (Current != nullptr && config.Version < Current->Version)
-          return utils::fail(utils::ErrorKind::StaleVersion,
-                             "configuration version went back",
-                             "write it again with a higher version");
+          return utils::fail(
+              utils::ErrorKind::StaleVersion,
+              "configuration version is lower than the one in force",
+              "write the configuration again with a higher version");
         Revision = item.ModRevision;
         Current = std::make_shared<const core::SiteConfig>(std::move(config));
-        Changed(Current);
+        NotifyChanged(Current);
         return true;
       },
       [&](const utils::Error &e) {
-        Refused(e);
-        // The last good configuration stays; conditions are on the refused
-        // value's revision, so that work goes on under it.
+        NotifyRefused(e);
+        // The last valid configuration stays in force, but conditions expect
+        // the revision of the refused value, so that transactions still
+        // succeed.
         if (Current != nullptr)
           Revision = item.ModRevision;
         return false;
       });
 }
 
-void ConfigFollower::learn(const platform::KeyValue &item, absl::Time sent) {
-  take(item);
+void ConfigFollower::learn(const platform::KeyValue &item, absl::Time sentAt) {
+  applyConfig(item);
   if (item.ModRevision == SeenRevision)
-    Confirmed = std::max(Confirmed, sent);
+    ConfirmedAt = std::max(ConfirmedAt, sentAt);
 }
 
 void ConfigFollower::heardOf(const core::ConfigStamp &newer) {
   if (newer.Revision <= newestRevision())
     return;
-  NewestHeard = newer.Revision;
-  Outdated(newer);
+  NewestKnownRevision = newer.Revision;
+  NotifyOutdated(newer);
   confirm([](bool) {});
 }
 
-void ConfigFollower::confirmLater() {
+void ConfigFollower::scheduleConfirmation() {
   Loop.runAfter(Source.ConfirmEvery, [this, alive = Alive] {
     if (!*alive)
       return;
     confirm([this, alive](bool) {
       if (*alive)
-        confirmLater();
+        scheduleConfirmation();
     });
   });
 }
@@ -96,30 +100,31 @@
   platform::StoreTxn txn;
   txn.Expected.push_back(condition());
   txn.TimeoutMs = timeoutMs;
-  const absl::Time sent = Loop.now();
-  const int64_t asked = Revision;
+  const absl::Time sentAt = Loop.now();
+  const int64_t expectedRevision = Revision;
   Calls.Transact(std::move(txn),
-                 [this, alive = Alive, sent, asked,
+                 [this, alive = Alive, sentAt, expectedRevision,
                   done = std::move(done)](const StoreReply<StoreTxnReply> &r) {
                    if (!*alive)
                      return;
                    if (r.ok()) {
-                     // It may have changed here since: then the answer is about
-                     // an older one, but a newer one was seen, so the view is
-                     // as fresh.
-                     if (asked <= Revision)
-                       Confirmed = std::max(Confirmed, sent);
+                     // The configuration in force may have changed since the
+                     // call was sent. Then the answer is about an older one,
+                     // but a newer one was seen since, so that the view is at
+                     // least as fresh.
+                     if (expectedRevision <= Revision)
+                       ConfirmedAt = std::max(ConfirmedAt, sentAt);
                      done(true);
                      return;
                    }
                    if (r.Status == StoreStatus::Conflict) {
                      for (const platform::KeyValue &item : r.Value.Current)
                        if (item.Key == Source.Key)
-                         learn(item, sent);
+                         learn(item, sentAt);
                      done(true);
                      return;
                    }
-                   Trouble(r.Status, r.Why);
+                   NotifyStoreError(r.Status, r.Why);
                    done(false);
                  });
 }
--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -19,88 +19,98 @@
 
 namespace oriolebay::operators {
 
-/// Where the operator's configuration lies and how it is read.
+/// Location of the operator's configuration in the store and how it is read.
 struct ConfigSource {
   std::string Key;
-  /// BadMessage when value is no configuration.
+  /// Parses value; BadMessage when value is not a valid configuration.
   std::function<utils::Result<core::SiteConfig>(const std::string &value)>
       Decode;
-  /// How often the view is confirmed while the watch brings nothing.
+  /// Interval at which the local view is confirmed while the watch reports no
+  /// changes.
   absl::Duration ConfirmEvery = absl::Milliseconds(600);
   platform::FollowTiming Follow;
 };
 
-/// Follows the operator's configuration on one event loop and knows how fresh
-/// its view is. A watch that brings nothing proves nothing: it may be silent
-/// while changes are made. So the view is confirmed by a transaction without
-/// writes that expects the revision held, which the store answers from its
-/// newest state. Versions never go back; a configuration that cannot be read
-/// is refused and the last good one stays in force.
+/// Follows the operator's configuration on one event loop and keeps track of
+/// how fresh the local view is. A silent watch does not prove that nothing
+/// changed: it may have broken while changes are made. The view is therefore
+/// confirmed by a transaction without writes that expects the known revision,
+/// which the store answers from its newest state. Versions never decrease. A
+/// configuration that cannot be parsed is refused, and the last valid one stays
+/// in force.
 class ConfigFollower {
 public:
   using OnConfig =
       std::function<void(const std::shared_ptr<const core::SiteConfig> &)>;
   using OnRefused = std::function<void(const utils::Error &)>;
-  /// A newer configuration than the one in force here is known to be.
+  /// Called when a newer configuration than the one in force here is known to
+  /// exist.
   using OnOutdated = std::function<void(const core::ConfigStamp &newer)>;
-  using OnTrouble =
+  using OnStoreError =
       std::function<void(platform::StoreStatus, const std::string &why)>;
 
   ConfigFollower(utils::EventLoop &loop, const platform::Store &store,
                  ConfigSource source, OnConfig onConfig, OnRefused onRefused,
-                 OnOutdated onOutdated, OnTrouble onTrouble);
+                 OnOutdated onOutdated, OnStoreError onStoreError);
   ~ConfigFollower();
   ConfigFollower(const ConfigFollower &) = delete;
   ConfigFollower &operator=(const ConfigFollower &) = delete;
 
   void start();
-  /// The configuration in force; null before the first.
+  /// Returns the configuration in force; null before the first one was read.
   const std::shared_ptr<const core::SiteConfig> &current() const {
     return Current;
   }
-  /// Which one that is; zeros before the first.
+  /// Returns the revision and version of the configuration in force; zeros
+  /// before the first one was read.
   core::ConfigStamp stamp() const {
     return {Revision, Current != nullptr ? Current->Version : 0};
   }
-  /// Another entry has gone by the configuration of newer: nobody must be
-  /// served by an older one here any more. The store is asked for it.
+  /// Called when another entry is known to use the configuration newer. From
+  /// then on no call may be served with an older one here; the store is asked
+  /// for the newest one.
   void heardOf(const core::ConfigStamp &newer);
-  /// Whether a newer configuration than the one in force here is known to be.
-  bool outdated() const { return Revision < NewestHeard; }
-  /// The store's revision of the newest configuration that is known to be.
-  int64_t newestRevision() const { return std::max(Revision, NewestHeard); }
-  /// The condition under which a transaction acts on the configuration in
-  /// force and no other.
+  /// Returns whether a newer configuration than the one in force here is known
+  /// to exist.
+  bool outdated() const { return Revision < NewestKnownRevision; }
+  /// Returns the store's revision of the newest configuration that is known to
+  /// exist.
+  int64_t newestRevision() const {
+    return std::max(Revision, NewestKnownRevision);
+  }
+  /// Returns the transaction condition that holds as long as the configuration
+  /// in force is the newest one in the store.
   platform::StoreCondition condition() const { return {Source.Key, Revision}; }
-  /// How old the view is: the time since a call was sent whose answer showed
-  /// that the configuration in force is the newest.
-  absl::Duration age(absl::Time now) const { return now - Confirmed; }
-  /// Takes the configuration's key as some call returned it, asked at sent.
-  void learn(const platform::KeyValue &item, absl::Time sent);
-  /// Confirms the view now; done is called with whether that worked. timeoutMs
-  /// 0: the store's own.
+  /// Returns the age of the view: the time since the sending of the last call
+  /// whose answer showed that the configuration in force is the newest one.
+  absl::Duration age(absl::Time now) const { return now - ConfirmedAt; }
+  /// Applies the configuration's key as returned by another call that was sent
+  /// at the time sent.
+  void learn(const platform::KeyValue &item, absl::Time sentAt);
+  /// Confirms the view now and calls done with whether that succeeded. With a
+  /// timeoutMs of 0 the store's own timeout applies.
   void confirm(std::function<void(bool)> done, long timeoutMs = 0);
 
 private:
-  void confirmLater();
-  void take(const platform::KeyValue &item);
+  void scheduleConfirmation();
+  void applyConfig(const platform::KeyValue &item);
 
   utils::EventLoop &Loop;
   const platform::Store &Calls;
   const ConfigSource Source;
-  const OnConfig Changed;
-  const OnRefused Refused;
-  const OnOutdated Outdated;
-  const OnTrouble Trouble;
+  const OnConfig NotifyChanged;
+  const OnRefused NotifyRefused;
+  const OnOutdated NotifyOutdated;
+  const OnStoreError NotifyStoreError;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   platform::PrefixFollower Follower;
   std::shared_ptr<const core::SiteConfig> Current;
   int64_t Revision = 0;
-  /// Revision of the newest value seen, readable or not.
+  /// Revision of the newest value seen, whether it could be parsed or not.
   int64_t SeenRevision = 0;
-  /// Of the newest configuration that any entry was heard to go by.
-  int64_t NewestHeard = 0;
-  absl::Time Confirmed = absl::InfinitePast();
+  /// Revision of the newest configuration that any entry is known to use.
+  int64_t NewestKnownRevision = 0;
+  absl::Time ConfirmedAt = absl::InfinitePast();
 };
 
 } // namespace oriolebay::operators
--- a/src/libs/operators/profilestore.cpp
+++ b/src/libs/operators/profilestore.cpp
@@ -126,8 +126,8 @@
       backoffMs = 100;
       continue;
     }
-    // The store is down or slow: wait before calling again so that an outage
-    // does not turn every entry into a tight retry loop against it.
+    // The store is down or slow. Waits before the next call, because otherwise
+    // each entry would retry in a tight loop during an outage.
     absl::SleepFor(absl::Milliseconds(backoffMs));
     backoffMs = std::min(MaxBackoffMs, backoffMs * 2);
   }
--- a/src/libs/operators/profilestore.h
+++ b/src/libs/operators/profilestore.h
@@ -12,26 +12,29 @@
 
 namespace oriolebay::operators {
 
-/// Where profiles live in the platform's store: one key a profile.
+/// Prefix of the profiles in the platform's store, with one key per profile.
 inline constexpr const char *ProfilePrefix = "/oriolebay/profiles/";
 
-/// Writes profile with compare-and-swap. expectedVersion is the version the
-/// operator read (zero for a new profile); when another operator wrote first
-/// the result is ErrorKind::StoreConflict naming the version that won. Gives
-/// the new version. Rejects a profile that fails checkProfile.
+/// Writes profile with compare-and-swap. expectedVersion is the version that
+/// the operator read (zero for a new profile). When another operator wrote
+/// first, the result is ErrorKind::StoreConflict with the version that is
+/// stored now. Returns the new version. Rejects a profile that fails
+/// checkProfile().
 utils::Result<int64_t> writeProfile(platform::KvClient &kv,
                                     const core::Profile &profile,
                                     int64_t expectedVersion);
 
-/// All profiles in the store, each with Version set to its key's revision.
+/// Returns all profiles in the store, each with Version set to its key's
+/// revision.
 utils::Result<std::vector<core::Profile>> readProfiles(platform::KvClient &kv);
 
-/// Empty when profile can be applied, else what to fix.
+/// Returns what to fix in profile; empty when it can be applied.
 std::string checkProfile(const core::Profile &profile);
 
-/// Follows the profiles in the store on a thread of its own: reads them all,
-/// then long-polls for changes, and hands each one to the hook. During a
-/// store outage it keeps retrying with backoff; what was applied stays.
+/// Follows the profiles in the store on its own thread: reads all of them, then
+/// long-polls for changes, and passes each one to the callback. During a store
+/// outage it retries with backoff; profiles that were applied before stay in
+/// force.
 class ProfileWatcher {
 public:
   using OnProfile = std::function<void(const core::Profile &)>;
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-/// Reports in one heartbeat period, and those that may be lost in a row before
-/// a worker is suspect.
+/// Number of reports in one heartbeat period, and number of consecutive reports
+/// that are missing when a worker becomes unresponsive.
 constexpr int ReportsPerHeartbeat = 3;
-/// A worker's clock may run so much slower than real time.
-constexpr double WorkerClockSlack = 1.02;
-/// A call that keeps tasks alive may be on its way for so long.
-constexpr absl::Duration CallOnItsWay = absl::Milliseconds(300);
-/// Between a stop and the start in its room: a report, two writes to a slow
-/// store (0.4 s each) and the order.
-constexpr absl::Duration StopToStart = absl::Milliseconds(1000);
-/// Time left before the kill when a process leaves after SIGTERM.
-constexpr absl::Duration LeaveSlack = absl::Milliseconds(800);
+/// Factor by which a worker's clock may be slower than real time.
+constexpr double WorkerClockFactor = 1.02;
+/// Maximum time for which a keep-alive call may be in flight.
+constexpr absl::Duration MaxCallDelay = absl::Milliseconds(300);
+/// Maximum time between a stop and the start that uses the freed capacity: a
+/// report, two writes to a slow store (0.4 s each) and the order.
+constexpr absl::Duration MaxStopToStartDelay = absl::Milliseconds(1000);
+/// Time that is left before a process is killed when it exits after SIGTERM.
+constexpr absl::Duration ShutdownMargin = absl::Milliseconds(800);
 
 utils::Result<void> readAddress(Reader &r, const char *key, bool required,
                                 HostPort &out) {
@@ -73,7 +73,8 @@
   if (object.is_null())
     return b;
   if (!object.is_object())
-    return utils::fail(ErrorKind::BadSettings, "setting bounds is no object",
+    return utils::fail(ErrorKind::BadSettings,
+                       "setting bounds is not an object",
                        "give bounds as {\"hold_max_ms\": 6000, ...}");
   Reader r(object, "bounds.");
   BOOST_LEAF_CHECK(readMs(r, "hold_max_ms", b.HoldMaxMs));
@@ -90,9 +91,9 @@
   if (b.RemoteFactor < 1)
     return utils::fail(ErrorKind::BadSettings,
                        "setting bounds.remote_factor is below 1",
-                       "work away from its data is never faster; give 1 or "
-                       "more");
-  BOOST_LEAF_CHECK(r.noOthers());
+                       "work on another rack than its data is never faster; "
+                       "give 1 or more");
+  BOOST_LEAF_CHECK(r.requireNoOtherKeys());
   return b;
 }
 
@@ -117,7 +118,7 @@
   BOOST_LEAF_CHECK(r.get("processor_share", s.ProcessorShare, false));
   json bounds;
   BOOST_LEAF_CHECK(r.get("bounds", bounds, false));
-  BOOST_LEAF_CHECK(r.noOthers());
+  BOOST_LEAF_CHECK(r.requireNoOtherKeys());
   BOOST_LEAF_AUTO(read, readBounds(bounds));
   s.Bounds = read;
   if (s.HeartbeatMs <= 0 || s.StoreMinLeaseMs <= 0)
@@ -144,7 +145,7 @@
   t.SuspectAfter = ReportsPerHeartbeat * t.ReportEvery;
   t.Grant = absl::Milliseconds(s.Bounds.HoldMaxMs) - t.ReportEvery;
   t.GrantWithoutStore = 2 * absl::Milliseconds(s.Bounds.HoldMaxMs);
-  t.GrantOverAfter = t.Grant * WorkerClockSlack + CallOnItsWay;
+  t.GrantOverAfter = t.Grant * WorkerClockFactor + MaxCallDelay;
   t.LeaderLease = std::max(absl::Milliseconds(s.Bounds.LeaseMs) * 2 / 3,
                            absl::Milliseconds(s.StoreMinLeaseMs));
   t.ConfirmEvery = absl::Milliseconds(s.Bounds.ConfigApplyMs) * 3 / 10;
@@ -153,9 +154,9 @@
   t.NotReadyAfter = absl::Milliseconds(s.Bounds.ConfigApplyMs);
   t.ReclaimAfter =
       std::max(absl::Milliseconds(s.Bounds.ReclaimMs - s.Bounds.StopGraceMs) -
-                   StopToStart,
+                   MaxStopToStartDelay,
                absl::ZeroDuration());
-  t.LeaveBy = absl::Milliseconds(s.Bounds.TermGraceMs) - LeaveSlack;
+  t.LeaveBy = absl::Milliseconds(s.Bounds.TermGraceMs) - ShutdownMargin;
   return t;
 }
 
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -9,7 +9,7 @@
 
 namespace oriolebay::settings {
 
-/// An address as HOST and PORT.
+/// A network address that consists of a host and a port.
 struct HostPort {
   std::string Host;
   int Port = 0;
@@ -17,97 +17,103 @@
   auto operator<=>(const HostPort &) const = default;
 };
 
-/// The bounds that the site promises or demands; every timeout is derived from
-/// them. Times in milliseconds.
+/// Time limits that the site guarantees or requires; every timeout is derived
+/// from them. Times are in milliseconds.
 struct SiteBounds {
-  /// Longest that a worker lets its tasks be held ahead.
+  /// Maximum time ahead for which a worker accepts a keep-alive of its tasks.
   int HoldMaxMs = 6000;
-  /// How long a stop takes at most.
+  /// Maximum duration of a stop of a task.
   int StopGraceMs = 900;
-  /// How long a gang's members wait for each other.
+  /// Maximum time for which the members of a gang wait for each other.
   int GangWaitMs = 3000;
-  /// After SIGTERM a process is killed after this.
+  /// Time after SIGTERM after which a process is killed.
   int TermGraceMs = 6000;
-  /// A changed configuration must be in force after this.
+  /// Maximum time until a changed configuration is in force.
   int ConfigApplyMs = 2000;
-  /// A key that was taken away must be refused after this.
+  /// Maximum time until an API key that was revoked is refused.
   int RevokeMs = 5000;
-  /// A holder of a duty must not act for this long after it was replaced.
+  /// Maximum time for which a process may still act in a role after another
+  /// process has replaced it in that role.
   int LeaseMs = 3000;
-  /// Finished jobs must be readable for this long.
+  /// Minimum time for which a finished job can be read.
   int KeepFinishedMs = 120000;
-  /// A task away from its data, or a gang over several racks, takes so many
-  /// times as long.
+  /// Factor by which the duration of a task grows when it runs on another rack
+  /// than its data, or when its gang spans several racks.
   double RemoteFactor = 3;
-  /// How long a run that goes on from a checkpoint takes to begin.
+  /// Time that a run needs to start from a checkpoint.
   int RestoreMs = 600;
-  /// Work of priority 0 within its organisation's guarantee must run after
-  /// this.
+  /// Maximum time until work of priority 0 within its organisation's guarantee
+  /// runs.
   int ReclaimMs = 3400;
   bool operator==(const SiteBounds &) const = default;
 };
 
-/// Settings of a process that serves lasting jobs (oriolebay-entry jobs,
-/// oriolebay-agent jobs), read from JSON.
+/// Settings of a process that serves jobs kept in the store (oriolebay-entry
+/// jobs, oriolebay-agent jobs), read from JSON.
 struct NodeSettings {
   std::string Name;
   std::string FailureDomain;
-  /// Where callers, the readiness check and the worker's heartbeats arrive;
-  /// port 0 where the role does not serve them.
+  /// Addresses at which callers, the readiness check and the worker's
+  /// heartbeats are served; the port is 0 when the role does not serve them.
   HostPort Callers;
   HostPort Ready;
   HostPort Control;
-  /// For the system's own processes: nng over TCP.
+  /// Address for the system's own processes, which use nng over TCP.
   HostPort Peers;
   HostPort Metrics;
-  /// The worker beside an agent.
+  /// The worker that belongs to the agent.
   HostPort Worker;
   HostPort Store;
   int StoreMinLeaseMs = 1000;
   HostPort Advice;
   int HeartbeatMs = 1500;
-  /// Of a core, as the host gives it to its processes.
+  /// Share of a core that the host gives to this process.
   double ProcessorShare = 1;
   SiteBounds Bounds;
   bool operator==(const NodeSettings &) const = default;
 };
 
-/// The periods and timeouts that follow from a site's bounds.
+/// Intervals and timeouts that are derived from a site's bounds.
 struct Timing {
-  /// Agents report to the leader this often: three times a heartbeat period,
-  /// so that two may be lost before a worker is suspect.
+  /// Interval at which agents report to the leader. It is a third of the
+  /// heartbeat period, so that two reports may be lost before a worker counts
+  /// as unresponsive.
   absl::Duration ReportEvery;
-  /// A worker whose agent was silent for three reports gets no new work.
+  /// A worker gets no new work when its agent has sent no report for this long,
+  /// which is three report intervals.
   absl::Duration SuspectAfter;
-  /// How long an agent may keep tasks alive after a report that the leader
-  /// answered: what the worker allows, less one report period, so that each
-  /// renewal can be whole.
+  /// Maximum time for which an agent may keep tasks alive after a report that
+  /// the leader answered. It is the limit of the worker less one report
+  /// interval, so that each renewal can extend the lease by the whole grant.
   absl::Duration Grant;
-  /// The leader grants for so long without the store: twice what a worker can
-  /// be held, which covers an outage of the store and its end.
+  /// Maximum time for which the leader extends grants without access to the
+  /// store. It is twice the maximum hold time of a worker, which covers an
+  /// outage of the store and the time that it takes to recover.
   absl::Duration GrantWithoutStore;
-  /// The worker's clock may be 2% slow; and a call may be on its way.
+  /// Time after which a grant has certainly ended. It allows for a worker's
+  /// clock that is 2% slow and for a call that is still in flight.
   absl::Duration GrantOverAfter;
   absl::Duration LeaderLease;
-  /// The configuration is confirmed so often that a change is in force in time
-  /// even if one answer is lost.
+  /// Interval at which the configuration is confirmed. It is short enough that
+  /// a change is in force in time even if one answer is lost.
   absl::Duration ConfirmEvery;
-  /// A view of the configuration that was confirmed in time is no older.
+  /// Maximum age of a view of the configuration that was confirmed in time.
   absl::Duration FreshConfig;
-  /// Older views of the configuration serve no calls, and show as not ready.
+  /// Maximum age of the view of the configuration with which calls are served.
   absl::Duration OldestConfig;
   absl::Duration NotReadyAfter;
-  /// Room is made for work within its organisation's guarantee by then,
-  /// whatever that throws away: the stop itself, the store and the start follow
-  /// within what is left of the bound.
+  /// Time after which capacity is freed for work within its organisation's
+  /// guarantee, however much work that discards. The stop itself, the writes to
+  /// the store and the start take place in the rest of the bound.
   absl::Duration ReclaimAfter;
-  /// When a stopping process leaves at the latest.
+  /// Maximum time that a process takes to stop.
   absl::Duration LeaveBy;
 };
 Timing deriveTiming(const NodeSettings &settings);
 
-/// Reads and checks settings. Unknown keys, wrong types, missing or unusable
-/// values give ErrorKind::BadSettings naming the key and the remedy.
+/// Parses and checks settings. Unknown keys, wrong types and missing or
+/// unusable values give ErrorKind::BadSettings with the name of the key and the
+/// remedy.
 utils::Result<NodeSettings> parseNodeSettings(const std::string &text);
 
 } // namespace oriolebay::settings
--- a/src/libs/settings/reader.h
+++ b/src/libs/settings/reader.h
@@ -9,19 +9,19 @@
 
 namespace oriolebay::settings::Internal {
 
-/// Reads one object's keys strictly: every key it holds must be asked for.
+/// Reads the keys of one JSON object and detects keys that were not requested.
 class Reader {
 public:
-  Reader(const nlohmann::json &object, std::string where)
-      : Object(object), Where(std::move(where)) {}
+  Reader(const nlohmann::json &object, std::string keyPrefix)
+      : Object(object), KeyPrefix(std::move(keyPrefix)) {}
 
   template <class T>
   utils::Result<void> get(const char *key, T &out, bool required) {
-    Seen.insert(key);
+    RequestedKeys.insert(key);
     if (!Object.contains(key)) {
       if (required)
         return utils::fail(utils::ErrorKind::BadSettings,
-                           "missing setting " + Where + key,
+                           "missing setting " + KeyPrefix + key,
                            "add \"" + std::string(key) + "\" to the file");
       return {};
     }
@@ -29,25 +29,25 @@
       Object.at(key).get_to(out);
     } catch (const nlohmann::json::exception &) {
       return utils::fail(utils::ErrorKind::BadSettings,
-                         "setting " + Where + key + " has the wrong type",
+                         "setting " + KeyPrefix + key + " has the wrong type",
                          "see docs/OPERATIONS.md for its type");
     }
     return {};
   }
 
-  utils::Result<void> noOthers() const {
+  utils::Result<void> requireNoOtherKeys() const {
     for (const auto &[key, value] : Object.items())
-      if (Seen.count(key) == 0)
+      if (RequestedKeys.count(key) == 0)
         return utils::fail(utils::ErrorKind::BadSettings,
-                           "unknown setting " + Where + key,
+                           "unknown setting " + KeyPrefix + key,
                            "remove it or correct its spelling");
     return {};
   }
 
 private:
   const nlohmann::json &Object;
-  const std::string Where;
-  std::set<std::string> Seen;
+  const std::string KeyPrefix;
+  std::set<std::string> RequestedKeys;
 };
 
 inline utils::Result<nlohmann::json> parseObject(const std::string &text) {
--- a/src/libs/settings/settings.cpp
+++ b/src/libs/settings/settings.cpp
@@ -57,7 +57,7 @@
   BOOST_LEAF_CHECK(r.get("retry_after_ms", s.RetryAfterMs, false));
   BOOST_LEAF_CHECK(r.get("drain_timeout_ms", s.DrainTimeoutMs, false));
   BOOST_LEAF_CHECK(r.get("placer", s.Placer, false));
-  BOOST_LEAF_CHECK(r.noOthers());
+  BOOST_LEAF_CHECK(r.requireNoOtherKeys());
   BOOST_LEAF_CHECK(requireAddress(s.AgentListen, "agent_listen"));
   BOOST_LEAF_CHECK(
       requirePositive(s.HeartbeatTimeoutMs, "heartbeat_timeout_ms"));
@@ -103,7 +103,7 @@
   BOOST_LEAF_CHECK(r.get("metrics_port", s.MetricsPort, false));
   BOOST_LEAF_CHECK(r.get("log_path", s.LogPath, false));
   BOOST_LEAF_CHECK(r.get("ready_file", s.ReadyFile, false));
-  BOOST_LEAF_CHECK(r.noOthers());
+  BOOST_LEAF_CHECK(r.requireNoOtherKeys());
   if (!worker.is_object())
     return utils::fail(ErrorKind::BadSettings,
                        "setting worker is not an object",
@@ -114,7 +114,7 @@
   BOOST_LEAF_CHECK(w.get("failure_domain", s.Worker.FailureDomain, true));
   BOOST_LEAF_CHECK(w.get("rack", s.Worker.Rack, true));
   BOOST_LEAF_CHECK(w.get("accelerators", s.Worker.Accelerators, true));
-  BOOST_LEAF_CHECK(w.noOthers());
+  BOOST_LEAF_CHECK(w.requireNoOtherKeys());
   BOOST_LEAF_CHECK(requireAddress(s.Listen, "listen"));
   if (s.Entries.empty())
     return utils::fail(ErrorKind::BadSettings, "setting entries is empty",
--- a/src/libs/settings/settings.h
+++ b/src/libs/settings/settings.h
@@ -49,13 +49,13 @@
   bool operator==(const AgentSettings &) const = default;
 };
 
-/// Reads and checks entry settings from JSON text. An unknown key, a value of
-/// the wrong type, a missing required key or an unusable value gives an
-/// ErrorKind::BadSettings error that names the key and the remedy.
+/// Parses and checks entry settings in JSON. An unknown key, a value of the
+/// wrong type, a missing required key or an unusable value gives an
+/// ErrorKind::BadSettings error with the name of the key and the remedy.
 utils::Result<EntrySettings> parseEntrySettings(const std::string &text);
-/// The same for agent settings.
+/// Parses and checks agent settings in the same way.
 utils::Result<AgentSettings> parseAgentSettings(const std::string &text);
-/// Reads the file at path whole; BadSettings when it cannot be read.
+/// Reads the whole file at path; BadSettings when it cannot be read.
 utils::Result<std::string> readFile(const std::string &path);
 
 } // namespace oriolebay::settings
