--- a/src/libs/eventlog/eventlog.cpp
+++ b/src/libs/eventlog/eventlog.cpp
@@ -28,22 +28,24 @@
 
 namespace sinks = boost::log::sinks;
 
-/// Lines that may wait for their writer: some seconds of a busy process, about
-/// half a megabyte.
-constexpr size_t MostQueued = 2000;
+/// Maximum number of lines that wait for the writer thread: some seconds of a
+/// busy process, or about half a megabyte.
+constexpr size_t MaxQueuedLines = 2000;
 
-/// How long the end of a process may wait for its last lines.
-constexpr std::chrono::milliseconds FlushPatience{300};
+/// Maximum time for which a process that ends waits for its last lines to be
+/// written.
+constexpr std::chrono::milliseconds FlushTimeout{300};
 
-std::atomic<int64_t> LeftOut{0};
+std::atomic<int64_t> DroppedLines{0};
 
-/// Leaves a line out when the queue is full, and counts it. Boost.Log's queue
-/// calls its overflow strategy by these names, so they keep its case.
+/// Drops a line when the queue is full, and counts it. Boost.Log's queue calls
+/// its overflow strategy by these names, so that they do not follow the naming
+/// rules of this project.
 struct DropAndCount {
   // NOLINTBEGIN(readability-identifier-naming)
   template <class Record, class Lock>
   bool on_overflow(const Record & /*record*/, Lock & /*lock*/) {
-    ++LeftOut;
+    ++DroppedLines;
     return false;
   }
   void on_queue_space_available() {}
@@ -53,51 +55,52 @@
 
 using Backend = sinks::text_ostream_backend;
 using Sink = sinks::asynchronous_sink<
-    Backend, sinks::bounded_fifo_queue<MostQueued, DropAndCount>>;
+    Backend, sinks::bounded_fifo_queue<MaxQueuedLines, DropAndCount>>;
 
-/// Bounds how many lines of a kind are written in a second, and tells when
-/// some were left out.
-class RateLimit {
+/// Limits the number of lines that are written per second for each kind of
+/// event, and reports the number of dropped lines.
+class RateLimiter {
 public:
-  /// Whether a line of event may be written now; told is how many lines were
-  /// left out since that was last said, when it is time to say it again.
-  bool admit(Event event, absl::Time now, int64_t &told) {
+  /// Returns whether a line of event may be written now. Sets newlyDropped to
+  /// the number of lines that were dropped since the last report, when a new
+  /// report is due.
+  bool admit(Event event, absl::Time now, int64_t &newlyDropped) {
     std::lock_guard<std::mutex> lock(Mu);
-    ++Totals[event];
+    ++EventTotals[event];
     const int64_t second = absl::ToUnixSeconds(now);
     if (second != Second) {
       Second = second;
-      Written.clear();
-      told = LeftOut - Told;
-      Told = LeftOut;
+      LinesInSecond.clear();
+      newlyDropped = DroppedLines - ReportedDropped;
+      ReportedDropped = DroppedLines;
     }
-    if (++Written[event] <= MostLinesPerSecond)
+    if (++LinesInSecond[event] <= MaxLinesPerSecond)
       return true;
-    ++LeftOut;
+    ++DroppedLines;
     return false;
   }
 
   std::map<Event, int64_t> totals() {
     std::lock_guard<std::mutex> lock(Mu);
-    return Totals;
+    return EventTotals;
   }
 
 private:
   std::mutex Mu;
   int64_t Second = 0;
-  int64_t Told = 0;
-  std::map<Event, int> Written;
-  std::map<Event, int64_t> Totals;
+  int64_t ReportedDropped = 0;
+  std::map<Event, int> LinesInSecond;
+  std::map<Event, int64_t> EventTotals;
 };
 
 struct Log {
   std::string Process;
   boost::shared_ptr<Sink> Out;
   boost::log::sources::logger_mt Source;
-  RateLimit Limit;
+  RateLimiter Limiter;
 };
 
-// Never destroyed: threads may log until the process is gone.
+// Never destroyed, because threads may log until the process has exited.
 Log *&instance() {
   static Log *log = nullptr;
   return log;
@@ -114,7 +117,7 @@
   if (fields.is_object())
     for (const auto &[key, value] : fields.items())
       line[key] = value;
-  // What a caller sent may hold bytes that are no text.
+  // Data from callers may contain bytes that are not valid UTF-8.
   BOOST_LOG(log.Source) << line.dump(-1, ' ', false,
                                      nlohmann::json::error_handler_t::replace);
 }
@@ -147,8 +150,8 @@
   return {};
 }
 
-// Standard output may have a reader that does not read: the process ends all
-// the same.
+// The reader of standard output may be blocked; the process must end
+// nevertheless.
 void closeEventLog() {
   Log *log = instance();
   if (log == nullptr)
@@ -159,26 +162,27 @@
     log->Out->flush();
     flushed->set_value();
   }).detach();
-  flushed->get_future().wait_for(FlushPatience);
+  flushed->get_future().wait_for(FlushTimeout);
 }
 
 void logEvent(Event event, const nlohmann::json &fields) {
   Log *log = instance();
   if (log == nullptr)
     return;
-  int64_t told = 0;
-  const bool admitted = log->Limit.admit(event, utils::bootNow(), told);
-  if (told > 0)
-    write(*log, Event::LogLinesLeftOut, {{"lines", told}});
+  int64_t newlyDropped = 0;
+  const bool admitted =
+      log->Limiter.admit(event, utils::bootNow(), newlyDropped);
+  if (newlyDropped > 0)
+    write(*log, Event::LogLinesLeftOut, {{"lines", newlyDropped}});
   if (admitted)
     write(*log, event, fields);
 }
 
 std::map<Event, int64_t> eventCounts() {
   Log *log = instance();
-  return log == nullptr ? std::map<Event, int64_t>() : log->Limit.totals();
+  return log == nullptr ? std::map<Event, int64_t>() : log->Limiter.totals();
 }
 
-int64_t linesLeftOut() { return LeftOut; }
+int64_t linesLeftOut() { return DroppedLines; }
 
 } // namespace oriolebay::eventlog
--- a/src/libs/eventlog/events.h
+++ b/src/libs/eventlog/events.h
@@ -4,8 +4,8 @@
 
 namespace oriolebay::eventlog {
 
-/// The catalogue of numbered events. docs/EVENTS.md describes each one; a
-/// number is never reused for another meaning.
+/// All numbered events. docs/EVENTS.md describes each one. A number is never
+/// reused for another meaning.
 enum class Event : int {
   ProcessStarted = 100,
   ProcessStopping = 101,
@@ -85,14 +85,14 @@
 
 struct EventInfo {
   Event Number;
-  /// Stable, dotted; printed beside the number.
+  /// Stable dotted name that is printed with the number.
   const char *Name;
 };
 
-/// Every event there is.
+/// Returns all events.
 const std::vector<EventInfo> &allEvents();
 
-/// The stable dotted name of event, printed beside its number.
+/// Returns the stable dotted name of event, which is printed with its number.
 const char *eventName(Event event);
 
 } // namespace oriolebay::eventlog
--- a/src/libs/eventlog/timeline.cpp
+++ b/src/libs/eventlog/timeline.cpp
@@ -18,35 +18,37 @@
 
 namespace {
 
-/// Fields that every event has; text output gives them their own columns.
+/// Fields that every event has; they have their own columns in the text output.
 const std::set<std::string> CommonFields = {"ts_us", "up_ms", "proc", "event",
                                             "name"};
 constexpr const char *ProcessStartedName = "process.started";
 constexpr const char *StoreCallFailedName = "store.call_failed";
 constexpr const char *StoreRegainedName = "store.regained";
-/// Failures of one process that follow each other within this are one outage.
-constexpr int64_t SameOutageUs = 3'000'000;
+/// Maximum time between two failed store calls of a process that belong to the
+/// same outage.
+constexpr int64_t MaxOutageGapUs = 3'000'000;
 
 bool startsWith(const std::string &text, const std::string &start) {
   return text.compare(0, start.size(), start) == 0;
 }
 
-// One life of a process: its boot clock runs evenly in it.
-using Life = std::vector<LoggedEvent>;
+// Events of a process between its start and its end, during which its boot
+// clock runs without jumps.
+using ProcessEvents = std::vector<LoggedEvent>;
 
-void placeByBootClock(Life &life) {
+void alignToBootClock(ProcessEvents &processEvents) {
   std::vector<int64_t> offsets;
-  for (const LoggedEvent &e : life)
+  for (const LoggedEvent &e : processEvents)
     if (e.Fields.contains("up_ms"))
       offsets.push_back(e.AtUs - numberIn(e.Fields, "up_ms") * 1000);
   if (offsets.empty())
     return;
-  const auto middle =
+  const auto median =
       offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
-  std::nth_element(offsets.begin(), middle, offsets.end());
-  for (LoggedEvent &e : life)
+  std::nth_element(offsets.begin(), median, offsets.end());
+  for (LoggedEvent &e : processEvents)
     if (e.Fields.contains("up_ms"))
-      e.AtUs = numberIn(e.Fields, "up_ms") * 1000 + *middle;
+      e.AtUs = numberIn(e.Fields, "up_ms") * 1000 + *median;
 }
 
 class Reader {
@@ -54,12 +56,12 @@
   void read(std::istream &in) {
     std::string line;
     while (std::getline(in, line))
-      take(line);
+      addLine(line);
   }
 
   ReadEvents finish() {
-    for (auto &[process, life] : Lives)
-      close(life);
+    for (auto &[process, processEvents] : EventsByProcess)
+      finishProcess(processEvents);
     std::stable_sort(Result.Events.begin(), Result.Events.end(),
                      [](const LoggedEvent &a, const LoggedEvent &b) {
                        return a.AtUs < b.AtUs;
@@ -68,7 +70,7 @@
   }
 
 private:
-  void take(const std::string &line) {
+  void addLine(const std::string &line) {
     const size_t start = line.find('{');
     json fields = start == std::string::npos
                       ? json()
@@ -77,24 +79,25 @@
       ++Result.Skipped;
       return;
     }
-    Life &life = Lives[textIn(fields, "proc")];
+    ProcessEvents &processEvents = EventsByProcess[textIn(fields, "proc")];
     if (textIn(fields, "name") == ProcessStartedName)
-      close(life);
+      finishProcess(processEvents);
     const int64_t at = numberIn(fields, "ts_us");
-    life.push_back({at, std::move(fields)});
+    processEvents.push_back({at, std::move(fields)});
   }
 
-  void close(Life &life) {
-    placeByBootClock(life);
-    std::move(life.begin(), life.end(), std::back_inserter(Result.Events));
-    life.clear();
+  void finishProcess(ProcessEvents &processEvents) {
+    alignToBootClock(processEvents);
+    std::move(processEvents.begin(), processEvents.end(),
+              std::back_inserter(Result.Events));
+    processEvents.clear();
   }
 
-  std::map<std::string, Life> Lives;
+  std::map<std::string, ProcessEvents> EventsByProcess;
   ReadEvents Result;
 };
 
-bool passes(const EventFilter &f, const LoggedEvent &e) {
+bool matches(const EventFilter &f, const LoggedEvent &e) {
   return (f.Process.empty() || textIn(e.Fields, "proc") == f.Process) &&
          (f.Worker.empty() || textIn(e.Fields, "worker") == f.Worker) &&
          (f.Organisation.empty() ||
@@ -103,25 +106,25 @@
          (!f.FromUs || e.AtUs >= *f.FromUs) && (!f.ToUs || e.AtUs <= *f.ToUs);
 }
 
-// A task is named after its job, and a reason may name the job that work made
-// room for.
-bool isOf(const std::string &job, const LoggedEvent &e) {
+// A task's name begins with its job's id, and the reason of an event may name
+// the job for which capacity was freed.
+bool concernsJob(const std::string &job, const LoggedEvent &e) {
   return textIn(e.Fields, "job") == job ||
          startsWith(textIn(e.Fields, "task"), job + ".") ||
          textIn(e.Fields, "why").find(job) != std::string::npos;
 }
 
-bool touchesAll(const LoggedEvent &e) {
+bool concernsAllJobs(const LoggedEvent &e) {
   const std::string name = textIn(e.Fields, "name");
   return startsWith(name, "leader.") || startsWith(name, "store.") ||
          startsWith(name, "log.");
 }
 
-/// Lets one failed store call a process and outage into a job's story: each
-/// process makes several calls a second, and their failures say the same.
+/// Passes one failed store call for each process and outage. Each process makes
+/// several calls a second, and their failures contain the same information.
 class OutageFilter {
 public:
-  bool repeats(const LoggedEvent &e) {
+  bool checkRepetition(const LoggedEvent &e) {
     const std::string name = textIn(e.Fields, "name");
     const std::string process = textIn(e.Fields, "proc");
     if (name == StoreRegainedName)
@@ -130,7 +133,7 @@
       return false;
     auto [it, isFirst] = FailedAtUs.try_emplace(process, e.AtUs);
     const int64_t sinceLastUs = e.AtUs - std::exchange(it->second, e.AtUs);
-    return !isFirst && sinceLastUs <= SameOutageUs;
+    return !isFirst && sinceLastUs <= MaxOutageGapUs;
   }
 
 private:
@@ -159,10 +162,10 @@
 
 std::vector<LoggedEvent> select(const std::vector<LoggedEvent> &events,
                                 const EventFilter &filter) {
-  std::vector<LoggedEvent> chosen;
-  std::copy_if(events.begin(), events.end(), std::back_inserter(chosen),
-               [&](const LoggedEvent &e) { return passes(filter, e); });
-  return chosen;
+  std::vector<LoggedEvent> selected;
+  std::copy_if(events.begin(), events.end(), std::back_inserter(selected),
+               [&](const LoggedEvent &e) { return matches(filter, e); });
+  return selected;
 }
 
 std::vector<LoggedEvent> storyOf(const std::string &job,
@@ -171,7 +174,7 @@
   int64_t last = 0;
   std::set<std::string> workers;
   for (const LoggedEvent &e : events) {
-    if (!isOf(job, e))
+    if (!concernsJob(job, e))
       continue;
     first = first.value_or(e.AtUs);
     last = e.AtUs;
@@ -186,8 +189,9 @@
     const bool during = e.AtUs >= *first && e.AtUs <= last;
     const bool atWorker = startsWith(textIn(e.Fields, "name"), "worker.") &&
                           workers.count(textIn(e.Fields, "worker")) > 0;
-    const bool isNews = during && !outages.repeats(e);
-    if (isOf(job, e) || (isNews && (touchesAll(e) || atWorker)))
+    const bool isNewDuringJob = during && !outages.checkRepetition(e);
+    if (concernsJob(job, e) ||
+        (isNewDuringJob && (concernsAllJobs(e) || atWorker)))
       story.push_back(e);
   }
   return story;
--- a/src/libs/eventlog/timeline.h
+++ b/src/libs/eventlog/timeline.h
@@ -10,16 +10,16 @@
 
 namespace oriolebay::eventlog {
 
-/// One line of an event log, with the time at which it belongs in the time line
-/// over all processes, in microseconds since the Unix epoch.
+/// One line of an event log, with its position in the time line of all
+/// processes in microseconds since the Unix epoch.
 struct LoggedEvent {
   int64_t AtUs = 0;
   nlohmann::json Fields;
   bool operator==(const LoggedEvent &) const = default;
 };
 
-/// What was read, in time order, how many lines were no events, and which files
-/// could not be opened.
+/// The events read in time order, the number of lines that were not events, and
+/// the files that could not be opened.
 struct ReadEvents {
   std::vector<LoggedEvent> Events;
   int Skipped = 0;
@@ -27,17 +27,18 @@
 };
 
 /// Reads the event logs in paths; "-" is standard input. Text before a line's
-/// JSON, such as a collector's prefix, is passed over. A process's wall clock
-/// may jump: its lines are placed by its boot clock and by what the wall clock
-/// said in the middle one of its lines.
+/// JSON, such as the prefix of a log collector, is ignored. The wall clock of a
+/// process may jump; therefore its lines are ordered by its boot clock, and the
+/// boot clock is mapped to wall clock time with the median offset between both
+/// clocks over all lines.
 ReadEvents readEvents(const std::vector<std::string> &paths);
 
-/// Which events to show; what is empty lets all through.
+/// Selects events; an empty member matches every event.
 struct EventFilter {
   std::string Process;
   std::string Worker;
   std::string Organisation;
-  /// The beginning of an event's name, such as "run." or "leader.lost".
+  /// Prefix of the event's name, such as "run." or "leader.lost".
   std::string Name;
   std::optional<int64_t> FromUs;
   std::optional<int64_t> ToUs;
@@ -47,16 +48,17 @@
 std::vector<LoggedEvent> select(const std::vector<LoggedEvent> &events,
                                 const EventFilter &filter);
 
-/// All that concerns one job: its own events, those of the workers it was
-/// placed on, and what happened to leader and store from its first event to its
-/// last. Of an outage's failed store calls it has one a process.
+/// Returns all events that concern one job: its own events, those of the
+/// workers that it was placed on, and those of the leader and the store between
+/// its first and its last event. Of the failed store calls in one outage it
+/// includes one for each process.
 std::vector<LoggedEvent> storyOf(const std::string &job,
                                  const std::vector<LoggedEvent> &events);
 
-/// Prints a JSON line an event.
+/// Prints one line of JSON for each event.
 void printJson(const std::vector<LoggedEvent> &events, std::ostream &out);
-/// Prints a line an event for people: seconds since the first, process, name
-/// and fields.
+/// Prints one readable line for each event: seconds since the first event,
+/// process, name and fields.
 void printText(const std::vector<LoggedEvent> &events, std::ostream &out);
 
 } // namespace oriolebay::eventlog
--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -85,7 +85,7 @@
   /// whose answer showed that the configuration in force is the newest one.
   absl::Duration age(absl::Time now) const { return now - ConfirmedAt; }
   /// Applies the configuration's key as returned by another call that was sent
-  /// at the time sent.
+  /// at sentAt.
   void learn(const platform::KeyValue &item, absl::Time sentAt);
   /// Confirms the view now and calls done with whether that succeeded. With a
   /// timeoutMs of 0 the store's own timeout applies.
