--- a/src/libs/losses/attribution.cpp
+++ b/src/libs/losses/attribution.cpp
@@ -12,58 +12,59 @@
 
 namespace {
 
-/// A run that took so many times as long as the middle one of its like was on a
-/// slow worker: sound ones differ by less.
-constexpr double SlowBeyond = 2.0;
-/// A worker where runs of two jobs failed within this time was at fault, not
-/// the jobs.
-constexpr absl::Duration SameFault = absl::Seconds(6);
-/// An answer is worth something until so many times its promise.
-constexpr int64_t LateUpTo = 3;
+/// A run whose duration exceeds the median of comparable runs by this factor
+/// was on a slow worker. Runs on healthy workers differ by less.
+constexpr double SlowRunFactor = 2.0;
+/// When runs of two jobs fail on the same worker within this time, the worker
+/// is at fault and not the jobs.
+constexpr absl::Duration WorkerFaultWindow = absl::Seconds(6);
+/// Multiple of a job's due time up to which a late result still has some value.
+constexpr int64_t MaxLatenessFactor = 3;
 
 using Runs = std::vector<RunHistory>;
 
-bool did(const RunHistory &run) {
-  return run.How == "done" && run.Ended && run.Started;
+bool isDone(const RunHistory &run) {
+  return run.EndState == "done" && run.Ended && run.Started;
 }
 
-/// The run that did the task's work, or null.
-const RunHistory *doneRun(const Runs &runs) {
-  auto it = std::find_if(runs.begin(), runs.end(), did);
+/// Returns the run that completed the task, or null.
+const RunHistory *findDoneRun(const Runs &runs) {
+  auto it = std::find_if(runs.begin(), runs.end(), isDone);
   return it == runs.end() ? nullptr : &*it;
 }
 
-absl::Duration tookOf(const RunHistory &run) {
+absl::Duration durationOf(const RunHistory &run) {
   return *run.Ended - run.Started.value_or(*run.Ended);
 }
 
-bool flag(const std::vector<bool> &flags, int step) {
+bool flagOf(const std::vector<bool> &flags, int step) {
   const auto s = static_cast<size_t>(step);
   return s < flags.size() && flags[s];
 }
 
-/// Whether what the run did is saved: it was stopped in good order, and its
-/// step saves its progress.
+/// Returns whether the work of the run is saved: it was stopped in an orderly
+/// way, and its step saves its progress.
 bool isSaved(const RunHistory &run, bool checkpoints) {
-  return checkpoints && run.How == "stopped" && run.Started && run.Ended;
+  return checkpoints && run.EndState == "stopped" && run.Started && run.Ended;
 }
 
-/// All tasks of one step of a job, and what their work took.
+/// The tasks of one step of a job and the durations of their work.
 class StepTimes {
 public:
   StepTimes(const JobHistory &job, const SiteHistory &site, int occurrence,
             int step)
-      : Site(site), Gang(flag(job.Gang, step)) {
+      : Site(site), Gang(flagOf(job.Gang, step)) {
     for (const auto &[id, runs] : job.Tasks) {
       if (id.Step != step || id.Occurrence != occurrence)
         continue;
-      const RunHistory *done = doneRun(runs);
+      const RunHistory *done = findDoneRun(runs);
       if (done == nullptr)
         continue;
-      Took.push_back(workOf(runs, *done, flag(job.Checkpoints, step)));
-      Slowest = std::max(Slowest, slowness(*done));
+      Durations.push_back(
+          workDurationOf(runs, *done, flagOf(job.Checkpoints, step)));
+      MaxSlowness = std::max(MaxSlowness, slowness(*done));
       const bool later = Last == nullptr || *done->Ended > *Last->Ended;
-      // One member's end stands for the whole gang.
+      // Members of a gang end together, so that one of them represents all.
       if (Last == nullptr || (Gang ? !later : later)) {
         Last = done;
         LastTask = id;
@@ -74,19 +75,21 @@
   const RunHistory *last() const { return Last; }
   const TaskId &lastTask() const { return LastTask; }
 
-  /// What a sound run of the step's tasks takes at most.
-  absl::Duration sound() const {
-    if (Took.empty())
+  /// Returns the maximum duration of a run of the step's tasks on a healthy
+  /// worker.
+  absl::Duration healthyDuration() const {
+    if (Durations.empty())
       return absl::ZeroDuration();
-    const absl::Duration longest = *std::max_element(Took.begin(), Took.end());
+    const absl::Duration longest =
+        *std::max_element(Durations.begin(), Durations.end());
     // A gang is as slow as its slowest member.
     if (Gang)
-      return longest / Slowest;
-    if (Took.size() < 3)
+      return longest / MaxSlowness;
+    if (Durations.size() < 3)
       return longest;
-    std::vector<absl::Duration> sorted = Took;
+    std::vector<absl::Duration> sorted = Durations;
     std::sort(sorted.begin(), sorted.end());
-    return std::min(longest, sorted[sorted.size() / 2] * SlowBeyond);
+    return std::min(longest, sorted[sorted.size() / 2] * SlowRunFactor);
   }
 
 private:
@@ -95,29 +98,29 @@
     return it == Site.Slowness.end() ? 1 : it->second;
   }
 
-  // What the work takes at a sound worker.
-  absl::Duration workOf(const Runs &runs, const RunHistory &done,
-                        bool checkpoints) const {
-    auto sound = [&](const RunHistory &run) {
-      return Gang ? tookOf(run) : tookOf(run) / slowness(run);
+  // Returns the duration of the work on a healthy worker.
+  absl::Duration workDurationOf(const Runs &runs, const RunHistory &done,
+                                bool checkpoints) const {
+    auto healthyDuration = [&](const RunHistory &run) {
+      return Gang ? durationOf(run) : durationOf(run) / slowness(run);
     };
-    absl::Duration work = sound(done);
+    absl::Duration work = healthyDuration(done);
     for (const RunHistory &run : runs)
       if (isSaved(run, checkpoints))
-        work += sound(run);
+        work += healthyDuration(run);
     return work;
   }
 
   const SiteHistory &Site;
   const bool Gang;
-  double Slowest = 1;
-  std::vector<absl::Duration> Took;
+  double MaxSlowness = 1;
+  std::vector<absl::Duration> Durations;
   const RunHistory *Last = nullptr;
   TaskId LastTask;
 };
 
-bool workerAtFault(const std::string &job, const RunHistory &failed,
-                   const SiteHistory &site) {
+bool isWorkerAtFault(const std::string &job, const RunHistory &failed,
+                     const SiteHistory &site) {
   return std::any_of(site.Jobs.begin(), site.Jobs.end(), [&](const auto &j) {
     if (j.first == job)
       return false;
@@ -125,57 +128,59 @@
         j.second.Tasks.begin(), j.second.Tasks.end(), [&](const auto &task) {
           return std::any_of(
               task.second.begin(), task.second.end(), [&](const RunHistory &r) {
-                return r.Worker == failed.Worker && r.How == "failed" &&
+                return r.Worker == failed.Worker && r.EndState == "failed" &&
                        r.Ended &&
-                       absl::AbsDuration(*r.Ended - *failed.Ended) < SameFault;
+                       absl::AbsDuration(*r.Ended - *failed.Ended) <
+                           WorkerFaultWindow;
               });
         });
   });
 }
 
-/// What the step's tasks lost to failures of their own, the longest of them.
-absl::Duration ownFailures(const JobHistory &job, int occurrence, int step,
-                           const SiteHistory &site) {
-  absl::Duration most = absl::ZeroDuration();
+/// Returns the time that the step's tasks lost by failures of their own: the
+/// maximum over the tasks.
+absl::Duration timeLostToOwnFailures(const JobHistory &job, int occurrence,
+                                     int step, const SiteHistory &site) {
+  absl::Duration maxLost = absl::ZeroDuration();
   for (const auto &[id, runs] : job.Tasks) {
     if (id.Step != step || id.Occurrence != occurrence)
       continue;
     absl::Duration lost = absl::ZeroDuration();
     for (const RunHistory &run : runs)
-      if (run.How == "failed" && run.Ended && run.Started &&
-          !workerAtFault(job.Id, run, site))
-        lost += tookOf(run);
-    most = std::max(most, lost);
+      if (run.EndState == "failed" && run.Ended && run.Started &&
+          !isWorkerAtFault(job.Id, run, site))
+        lost += durationOf(run);
+    maxLost = std::max(maxLost, lost);
   }
-  return most;
+  return maxLost;
 }
 
-/// Builds a critical path from its end to its beginning.
-class Path {
+/// Builds a critical path from its end to its start.
+class CriticalPathBuilder {
 public:
-  Path(const JobHistory &job, const SiteHistory &site)
-      : Job(job), Site(site), Cursor(job.Shown.value_or(*job.Ended)) {}
+  CriticalPathBuilder(const JobHistory &job, const SiteHistory &site)
+      : Job(job), Site(site), Cursor(job.EndShown.value_or(*job.Ended)) {}
 
   std::vector<Segment> build() {
-    back(*Job.Ended, Cause::Showing);
+    attributeUntil(*Job.Ended, Cause::Showing);
     int step = lastStep();
     while (step >= 0) {
       const StepTimes times(Job, Site, 0, step);
       if (times.last() == nullptr)
         break;
-      walkTask(times);
-      step = before(step);
+      addTask(times);
+      step = previousStep(step);
     }
     const absl::Time accepted = Job.Accepted.value_or(Job.FirstCall);
-    waited(accepted, -1);
-    back(Job.FirstCall, Cause::Accepting);
+    addWait(accepted, -1);
+    attributeUntil(Job.FirstCall, Cause::Accepting);
     std::reverse(Out.begin(), Out.end());
     return std::move(Out);
   }
 
 private:
-  // Takes what lies between from and the cursor.
-  void back(absl::Time from, Cause cause) {
+  // Attributes the time between from and the cursor to cause.
+  void attributeUntil(absl::Time from, Cause cause) {
     if (from >= Cursor)
       return;
     Out.push_back({cause, from, Cursor});
@@ -195,8 +200,9 @@
     return step;
   }
 
-  // The step among those that this one waited for that was done last.
-  int before(int step) const {
+  // Returns the step that ended last among those that the given step waits for;
+  // -1 when there is none.
+  int previousStep(int step) const {
     int latestStep = -1;
     absl::Time latest = absl::InfinitePast();
     for (int s : Job.After[static_cast<size_t>(step)]) {
@@ -209,128 +215,133 @@
     return latestStep;
   }
 
-  absl::Time ready(int step) const {
-    const int s = before(step);
+  absl::Time readyAt(int step) const {
+    const int s = previousStep(step);
     return s < 0 ? Job.Accepted.value_or(Job.FirstCall)
                  : *StepTimes(Job, Site, 0, s).last()->Ended;
   }
 
-  void walkTask(const StepTimes &times) {
+  void addTask(const StepTimes &times) {
     const TaskId &id = times.lastTask();
     const Runs &runs = Job.Tasks.at(id);
-    const absl::Time begins = ready(id.Step);
+    const absl::Time taskReadyAt = readyAt(id.Step);
     const RunHistory *const last = times.last();
     for (size_t i = runs.size(); i-- > 0;) {
       const RunHistory &run = runs[i];
       if (run.Run > last->Run)
         continue;
       if (run.Ended)
-        waited(std::max(begins, *run.Ended), id.Step);
-      walkRun(run, id, times.sound());
+        addWait(std::max(taskReadyAt, *run.Ended), id.Step);
+      addRun(run, id, times.healthyDuration());
     }
-    waited(begins, id.Step);
+    addWait(taskReadyAt, id.Step);
   }
 
-  void walkRun(const RunHistory &run, const TaskId &id, absl::Duration sound) {
+  void addRun(const RunHistory &run, const TaskId &id,
+              absl::Duration healthyDuration) {
     if (run.Started) {
-      if (did(run)) {
-        const absl::Duration beyond = tookOf(run) - sound;
-        if (beyond > absl::ZeroDuration())
-          back(*run.Ended - beyond, Cause::SlowWorker);
-        back(*run.Started, Cause::Working);
-      } else if (isSaved(run, flag(Job.Checkpoints, id.Step))) {
-        back(*run.Started, Cause::Working);
+      if (isDone(run)) {
+        const absl::Duration excess = durationOf(run) - healthyDuration;
+        if (excess > absl::ZeroDuration())
+          attributeUntil(*run.Ended - excess, Cause::SlowWorker);
+        attributeUntil(*run.Started, Cause::Working);
+      } else if (isSaved(run, flagOf(Job.Checkpoints, id.Step))) {
+        attributeUntil(*run.Started, Cause::Working);
       } else {
-        back(*run.Started, causeOf(run, id));
+        attributeUntil(*run.Started, causeOf(run, id));
       }
     }
     if (run.Placed)
-      split(*run.Placed, Cause::Starting);
+      attributeExceptOutages(*run.Placed, Cause::Starting);
   }
 
   Cause causeOf(const RunHistory &run, const TaskId &id) const {
-    if (run.How == "failed")
+    if (run.EndState == "failed")
       return Cause::RunFailed;
-    if (absl::StrContains(run.StopWhy, "stands still") ||
-        absl::StrContains(run.StopWhy, "crawls"))
+    if (absl::StrContains(run.StopReason, "stands still") ||
+        absl::StrContains(run.StopReason, "crawls"))
       return Cause::RunStoodStill;
-    if (absl::StrContains(run.StopWhy, "before its worker leaves"))
+    if (absl::StrContains(run.StopReason, "before its worker leaves"))
       return Cause::RunEvacuated;
-    if (absl::StrContains(run.StopWhy, "makes room"))
+    if (absl::StrContains(run.StopReason, "makes room"))
       return Cause::RunStopped;
-    if (run.How == "lost" || run.How == "lapsed")
+    if (run.EndState == "lost" || run.EndState == "lapsed")
       return Cause::RunLost;
-    return ofGang(run, id);
+    return causeFromGang(run, id);
   }
 
-  // A member that was broken off with its gang: what became of the others.
-  Cause ofGang(const RunHistory &run, const TaskId &id) const {
+  // Cause for a member that was stopped with its gang, which depends on what
+  // happened to the other members.
+  Cause causeFromGang(const RunHistory &run, const TaskId &id) const {
     for (const auto &[other, runs] : Job.Tasks) {
       if (other.Step != id.Step || other == id)
         continue;
       for (const RunHistory &r : runs)
-        if (r.Run == run.Run && r.How == "failed")
+        if (r.Run == run.Run && r.EndState == "failed")
           return Cause::RunFailed;
       for (const RunHistory &r : runs)
-        if (r.Run == run.Run && (r.How == "lost" || r.How == "lapsed"))
+        if (r.Run == run.Run &&
+            (r.EndState == "lost" || r.EndState == "lapsed"))
           return Cause::RunLost;
     }
     return Cause::RunBroken;
   }
 
-  // A wait from then to the cursor, for a task of the step (-1: none yet).
-  void waited(absl::Time from, int step) {
+  // Attributes a wait from the time from to the cursor, for a task of the step;
+  // a step of -1 means that no task was runnable yet.
+  void addWait(absl::Time from, int step) {
     if (from >= Cursor)
       return;
-    auto stop = std::find_if(Job.StopsForIt.begin(), Job.StopsForIt.end(),
+    auto stop = std::find_if(Job.StopsForJob.begin(), Job.StopsForJob.end(),
                              [&](absl::Time t) { return t >= from; });
-    if (stop != Job.StopsForIt.end())
-      split(*stop, Cause::WaitingForStops);
-    split(from, whyWaited(step));
+    if (stop != Job.StopsForJob.end())
+      attributeExceptOutages(*stop, Cause::WaitingForStops);
+    attributeExceptOutages(from, waitCause(step));
   }
 
-  Cause whyWaited(int step) const {
+  Cause waitCause(int step) const {
     if (step < 0)
       return Cause::WaitingForRoom;
     const auto s = static_cast<size_t>(step);
     if (s < Job.Waves.size() && Job.Waves[s] > 1)
       return Cause::OwnWaves;
-    if (flag(Job.OneRack, step))
+    if (flagOf(Job.SameRack, step))
       return Cause::WaitingForRack;
     return Cause::WaitingForRoom;
   }
 
-  // Takes what lies between from and the cursor, less the time in which nobody
-  // led or the leader had no store.
-  void split(absl::Time from, Cause cause) {
+  // Attributes the time between from and the cursor to cause, except for the
+  // periods without a leader and those in which the leader could not reach the
+  // store.
+  void attributeExceptOutages(absl::Time from, Cause cause) {
     while (from < Cursor) {
-      const Span rest{from, Cursor};
-      const std::optional<Segment> last = lastTrouble(rest);
+      const Span period{from, Cursor};
+      const std::optional<Segment> last = lastOutage(period);
       if (!last) {
-        back(from, cause);
+        attributeUntil(from, cause);
         return;
       }
-      back(last->To, cause);
-      back(last->From, last->What);
+      attributeUntil(last->To, cause);
+      attributeUntil(last->From, last->What);
     }
   }
 
-  std::optional<Segment> lastTrouble(const Span &rest) const {
+  std::optional<Segment> lastOutage(const Span &period) const {
     std::optional<Segment> last;
-    auto take = [&](const std::vector<Span> &spans, Cause cause) {
+    auto checkPeriods = [&](const std::vector<Span> &spans, Cause cause) {
       for (const Span &span : spans) {
-        const Span both = span.within(rest);
-        if (both.length() > absl::ZeroDuration() &&
-            (!last || both.To > last->To))
-          last = Segment{cause, both.From, both.To};
+        const Span overlap = span.intersection(period);
+        if (overlap.length() > absl::ZeroDuration() &&
+            (!last || overlap.To > last->To))
+          last = Segment{cause, overlap.From, overlap.To};
       }
     };
-    take(Site.WithoutLeader, Cause::LeaderChange);
-    auto leader = Site.Leaders.upper_bound(rest.To);
+    checkPeriods(Site.LeaderlessPeriods, Cause::LeaderChange);
+    auto leader = Site.Leaders.upper_bound(period.To);
     if (leader != Site.Leaders.begin()) {
-      auto store = Site.WithoutStore.find(std::prev(leader)->second);
-      if (store != Site.WithoutStore.end())
-        take(store->second, Cause::StoreOutage);
+      auto store = Site.StoreOutagePeriods.find(std::prev(leader)->second);
+      if (store != Site.StoreOutagePeriods.end())
+        checkPeriods(store->second, Cause::StoreOutage);
     }
     return last;
   }
@@ -357,7 +368,7 @@
     return Outcome::Open;
   if (took <= due)
     return Outcome::InTime;
-  return took <= due * LateUpTo ? Outcome::Late : Outcome::Worthless;
+  return took <= due * MaxLatenessFactor ? Outcome::Late : Outcome::Worthless;
 }
 
 } // namespace
@@ -443,22 +454,26 @@
                                   const SiteHistory &site) {
   if (!job.Accepted || !job.Ended)
     return {};
-  return Path(job, site).build();
+  return CriticalPathBuilder(job, site).build();
 }
 
-absl::Duration dueWithin(const JobHistory &job, const SiteHistory &site) {
-  std::vector<absl::Duration> chains(job.Waves.size(), absl::ZeroDuration());
-  absl::Duration chain = absl::ZeroDuration();
+absl::Duration dueAfter(const JobHistory &job, const SiteHistory &site) {
+  std::vector<absl::Duration> pathLengths(job.Waves.size(),
+                                          absl::ZeroDuration());
+  absl::Duration longestPath = absl::ZeroDuration();
   for (size_t s = 0; s < job.Waves.size(); ++s) {
     const int step = static_cast<int>(s);
-    absl::Duration before = absl::ZeroDuration();
+    absl::Duration predecessors = absl::ZeroDuration();
     for (int after : job.After[s])
-      before = std::max(before, chains[static_cast<size_t>(after)]);
-    chains[s] = before + StepTimes(job, site, 0, step).sound() * job.Waves[s] +
-                ownFailures(job, 0, step, site);
-    chain = std::max(chain, chains[s]);
+      predecessors =
+          std::max(predecessors, pathLengths[static_cast<size_t>(after)]);
+    pathLengths[s] =
+        predecessors +
+        StepTimes(job, site, 0, step).healthyDuration() * job.Waves[s] +
+        timeLostToOwnFailures(job, 0, step, site);
+    longestPath = std::max(longestPath, pathLengths[s]);
   }
-  return chain * job.Stretch + job.Target;
+  return longestPath * job.Stretch + job.Target;
 }
 
 Cause Account::mainCause() const {
@@ -466,19 +481,19 @@
   for (const Segment &s : Path)
     if (s.What != Cause::Working)
       sums[s.What] += s.length();
-  auto most = std::max_element(
+  auto largest = std::max_element(
       sums.begin(), sums.end(),
       [](const auto &a, const auto &b) { return a.second < b.second; });
-  return most == sums.end() ? Cause::Working : most->first;
+  return largest == sums.end() ? Cause::Working : largest->first;
 }
 
 Account accountOf(const JobHistory &job, const SiteHistory &site) {
   Account account;
   account.Job = job.Id;
   account.Path = criticalPath(job, site);
-  account.Due = dueWithin(job, site);
+  account.Due = dueAfter(job, site);
   if (job.Ended)
-    account.Took = job.Shown.value_or(*job.Ended) - job.FirstCall;
+    account.Took = job.EndShown.value_or(*job.Ended) - job.FirstCall;
   account.What = outcomeOf(job, account.Took, account.Due);
   return account;
 }
@@ -487,17 +502,20 @@
   std::vector<Waste> out;
   for (const auto &[id, runs] : job.Tasks) {
     const auto step = static_cast<size_t>(id.Step);
-    if (step >= job.Weight.size())
+    if (step >= job.CoresPerTask.size())
       continue;
     for (const RunHistory &run : runs) {
-      // A member of a gang that is done may end otherwise than it did.
-      if (!run.Ended || !run.Started || run.How == "done" ||
-          run.How == "failed" || isSaved(run, job.Checkpoints[step]))
+      // A member of a completed gang may have ended in another way than the
+      // gang did.
+      if (!run.Ended || !run.Started || run.EndState == "done" ||
+          run.EndState == "failed" || isSaved(run, job.Checkpoints[step]))
         continue;
-      Waste w{job.Id, run.Worker, run.How, run.StopWhy, "", *run.Ended, 0};
-      if (absl::StartsWith(run.StopWhy, MakesRoomFor))
-        w.ForJob = run.StopWhy.substr(MakesRoomFor.size());
-      w.CoreSeconds = absl::ToDoubleSeconds(tookOf(run)) * job.Weight[step];
+      Waste w{job.Id,     run.Worker, run.EndState, run.StopReason, "",
+              *run.Ended, 0};
+      if (absl::StartsWith(run.StopReason, CapacityStopPrefix))
+        w.ForJob = run.StopReason.substr(CapacityStopPrefix.size());
+      w.CoreSeconds =
+          absl::ToDoubleSeconds(durationOf(run)) * job.CoresPerTask[step];
       out.push_back(std::move(w));
     }
   }
--- a/src/libs/losses/attribution.h
+++ b/src/libs/losses/attribution.h
@@ -9,45 +9,47 @@
 
 namespace oriolebay::losses {
 
-/// What a stretch of a job's time went to.
+/// Cause to which a part of a job's time is attributed.
 enum class Cause {
   /// From the first call to the one that was answered with success.
   Accepting,
   StoreOutage,
   LeaderChange,
-  /// Work of others was in the way, and nothing was stopped for it.
+  /// Waiting for capacity that other work occupied, without any work being
+  /// stopped for the job.
   WaitingForRoom,
-  /// Others were being stopped for it.
+  /// Waiting until other work that was stopped for the job had ended.
   WaitingForStops,
-  /// A gang that wants one rack.
+  /// Waiting of a gang that needs one rack.
   WaitingForRack,
-  /// Tasks of the same step were in the way.
+  /// Waiting for tasks of the same step.
   OwnWaves,
-  /// From a run's placement to its start.
+  /// From the placement of a run to its start.
   Starting,
-  /// The work itself, on the run that did it.
+  /// The work itself, in the run that completed it.
   Working,
-  /// What that run took beyond its like.
+  /// The time by which that run exceeded the duration of comparable runs.
   SlowWorker,
-  /// Runs that came to nothing: failed, lost with their worker or for want of a
-  /// lease, stood still, stopped for others, moved off a leaving worker, or
-  /// broken off with their gang.
+  /// Runs whose work was not used because they failed, were lost with their
+  /// worker or because their lease lapsed, stalled, were stopped for other
+  /// work, were moved off a worker that shuts down, or were stopped with their
+  /// gang.
   RunFailed,
   RunLost,
   RunStoodStill,
   RunStopped,
   RunEvacuated,
   RunBroken,
-  /// From the last end to the answer that showed it.
+  /// From the end of the last run to the answer that returned it.
   Showing,
 };
 
-/// Every cause there is, in the order of the enum.
+/// Returns all causes in the order of the enum.
 const std::vector<Cause> &allCauses();
-/// The stable name of cause.
+/// Returns the stable name of cause.
 const char *causeName(Cause cause);
 
-/// A stretch of a job's time along its critical path.
+/// A part of a job's time along its critical path.
 struct Segment {
   Cause What = Cause::Working;
   absl::Time From;
@@ -57,21 +59,21 @@
   auto operator<=>(const Segment &) const = default;
 };
 
-/// The job's time from its first call until its end was shown, without a gap,
-/// along the path that took longest: the task that ended last, its runs before,
-/// the step that it waited for, and so on. Empty when it was not accepted or
-/// the logs hold no end.
+/// Returns the job's time from its first call until its end was returned to a
+/// caller, without gaps, along its critical path: the task that ended last, its
+/// earlier runs, the step that it waited for, and so on. Empty when the job was
+/// not accepted or the logs do not contain its end.
 std::vector<Segment> criticalPath(const JobHistory &job,
                                   const SiteHistory &site);
 
-/// In how long the job was due, by what its tasks took on sound workers: a run
-/// that took several times as long as its like counts as one of them. Runs that
-/// failed by their own fault count as work.
-absl::Duration dueWithin(const JobHistory &job, const SiteHistory &site);
+/// Returns the time after its first call by which the job was due, based on the
+/// durations of its tasks on healthy workers: a run that took several times as
+/// long as comparable runs counts with their duration. Runs that failed by
+/// their own fault count as work.
+absl::Duration dueAfter(const JobHistory &job, const SiteHistory &site);
 
-/// What became of a job.
-/// NotAllowed: there was no such queue or key, or the job could never be
-/// served. Open: the logs have no end of it.
+/// Outcome of a job. NotAllowed: the queue or key did not exist, or the job
+/// could never be served. Open: the logs do not contain its end.
 enum class Outcome {
   InTime,
   Late,
@@ -82,11 +84,13 @@
   NotAllowed,
   Open
 };
-/// Whether the callers of such a job were owed its result.
+/// Returns whether the callers of a job with this outcome were entitled to its
+/// result.
 bool isOwed(Outcome outcome);
 const char *outcomeName(Outcome outcome);
 
-/// A job's account.
+/// Summary of one job: its outcome, the time that it took, the time after which
+/// it was due, and its critical path.
 struct Account {
   std::string Job;
   Outcome What = Outcome::Open;
@@ -94,24 +98,25 @@
   absl::Duration Due = absl::ZeroDuration();
   std::vector<Segment> Path;
 
-  absl::Duration late() const {
+  absl::Duration lateness() const {
     return std::max(Took - Due, absl::ZeroDuration());
   }
-  /// What most of the time beyond the work itself went to.
+  /// Returns the cause of most of the time other than the work itself.
   Cause mainCause() const;
   bool operator==(const Account &) const = default;
 };
 
 Account accountOf(const JobHistory &job, const SiteHistory &site);
 
-/// Work that was thrown away.
+/// Discarded work of one run.
 struct Waste {
   std::string Job;
   std::string Worker;
-  /// How the run ended, and why it was stopped.
-  std::string How;
-  std::string Why;
-  /// The job that it made room for, if any.
+  /// How the run ended, and the reason why it was stopped.
+  std::string EndState;
+  std::string Reason;
+  /// Job for which the run was stopped to free capacity; empty if there is
+  /// none.
   std::string ForJob;
   absl::Time At;
   double CoreSeconds = 0;
@@ -119,8 +124,9 @@
   bool operator==(const Waste &) const = default;
 };
 
-/// Every run of the job whose work was not used. One that was stopped in good
-/// order and saves its progress goes on elsewhere: nothing of it is lost.
+/// Returns all runs of the job whose work was not used. A run that was stopped
+/// in an orderly way and that saves its progress resumes elsewhere, so that
+/// none of its work is lost.
 std::vector<Waste> wasteOf(const JobHistory &job);
 
 } // namespace oriolebay::losses
--- a/src/libs/losses/jobhistory.cpp
+++ b/src/libs/losses/jobhistory.cpp
@@ -19,76 +19,77 @@
 namespace {
 
 constexpr double CoresPerAccelerator = 8;
-/// A leader that was missed longer before an election than this was not missed
-/// for the one that this election replaced.
-constexpr absl::Duration LongestElection = absl::Seconds(8);
+/// Maximum time between a process's loss of the leader and the election that
+/// follows from it. A loss that is older than this is not attributed to the
+/// election.
+constexpr absl::Duration MaxElectionDelay = absl::Seconds(8);
 
-class Reader {
+class HistoryReader {
 public:
-  void take(const LoggedEvent &e) {
+  void handleEvent(const LoggedEvent &e) {
     const absl::Time at = absl::FromUnixMicros(e.AtUs);
     Site.From = std::min(Site.From, at);
     Site.To = std::max(Site.To, at);
     const std::string name = textIn(e.Fields, "name");
     if (name == "process.started")
-      Domains[textIn(e.Fields, "proc")] = textIn(e.Fields, "domain");
+      DomainByProcess[textIn(e.Fields, "proc")] = textIn(e.Fields, "domain");
     else if (absl::StartsWith(name, "leader.") || name == "worker.joined")
-      takeLeader(name, e, at);
+      handleLeaderEvent(name, e, at);
     else if (name == "store.lost" || name == "store.regained")
-      takeStore(name == "store.lost", textIn(e.Fields, "proc"), at);
+      handleStoreEvent(name == "store.lost", textIn(e.Fields, "proc"), at);
     else if (name == "worker.life_began")
-      Hosts[textIn(e.Fields, "worker")] = textIn(e.Fields, "proc");
+      AgentByWorker[textIn(e.Fields, "worker")] = textIn(e.Fields, "proc");
     else if (name == "call.answered")
-      takeCall(e, at);
+      handleCallAnswered(e, at);
     else if (name == "job.promised")
-      takePromise(e);
+      handleDeadlineSet(e);
     else if (name == "job.ended")
-      takeJobEnd(e, at);
+      handleJobEnded(e, at);
     else if (absl::StartsWith(name, "run."))
-      takeRun(name, e, at);
+      handleRunEvent(name, e, at);
     else if (name == "order.carried_out" &&
              textIn(e.Fields, "outcome") == "started")
-      takeRun("run.started", e, at);
+      handleRunEvent("run.started", e, at);
   }
 
   SiteHistory finish() {
-    for (auto &[process, from] : StoreLostAt)
-      Site.WithoutStore[process].push_back({from, Site.To});
+    for (auto &[process, from] : StoreLostSince)
+      Site.StoreOutagePeriods[process].push_back({from, Site.To});
     if (LeaderlessFrom)
-      Site.WithoutLeader.push_back({*LeaderlessFrom, Site.To});
-    learnSpeeds();
+      Site.LeaderlessPeriods.push_back({*LeaderlessFrom, Site.To});
+    estimateWorkerSpeeds();
     return std::move(Site);
   }
 
 private:
-  // Whether a leader that somebody misses is gone shows only when the next one
-  // is elected.
-  void takeLeader(const std::string &name, const LoggedEvent &e,
-                  absl::Time at) {
+  // Whether a leader that a process reports as unreachable is really gone is
+  // known only when the next one is elected.
+  void handleLeaderEvent(const std::string &name, const LoggedEvent &e,
+                         absl::Time at) {
     if (name == "leader.unreachable" || name == "leader.lost") {
-      Missed.push_back(at);
+      LeaderLossTimes.push_back(at);
     } else if (name == "leader.elected") {
       Site.Leaders[at] = textIn(e.Fields, "proc");
-      auto since =
-          std::find_if(Missed.begin(), Missed.end(),
-                       [&](absl::Time t) { return at - t < LongestElection; });
+      auto firstLoss =
+          std::find_if(LeaderLossTimes.begin(), LeaderLossTimes.end(),
+                       [&](absl::Time t) { return at - t < MaxElectionDelay; });
       if (!LeaderlessFrom)
-        LeaderlessFrom = since == Missed.end() ? at : *since;
+        LeaderlessFrom = firstLoss == LeaderLossTimes.end() ? at : *firstLoss;
       ElectedAt = at;
-      Missed.clear();
+      LeaderLossTimes.clear();
     } else if (name == "worker.joined" && LeaderlessFrom && ElectedAt) {
-      Site.WithoutLeader.push_back({*LeaderlessFrom, at});
+      Site.LeaderlessPeriods.push_back({*LeaderlessFrom, at});
       LeaderlessFrom.reset();
     }
   }
 
-  void takeStore(bool lost, const std::string &process, absl::Time at) {
-    auto it = StoreLostAt.find(process);
+  void handleStoreEvent(bool lost, const std::string &process, absl::Time at) {
+    auto it = StoreLostSince.find(process);
     if (lost) {
-      StoreLostAt.emplace(process, at);
-    } else if (it != StoreLostAt.end()) {
-      Site.WithoutStore[process].push_back({it->second, at});
-      StoreLostAt.erase(it);
+      StoreLostSince.emplace(process, at);
+    } else if (it != StoreLostSince.end()) {
+      Site.StoreOutagePeriods[process].push_back({it->second, at});
+      StoreLostSince.erase(it);
     }
   }
 
@@ -98,28 +99,28 @@
     return j;
   }
 
-  void takeCall(const LoggedEvent &e, absl::Time at) {
+  void handleCallAnswered(const LoggedEvent &e, absl::Time at) {
     const std::string call = textIn(e.Fields, "call");
     const std::string id = textIn(e.Fields, "job");
     const std::string result = textIn(e.Fields, "result");
     if (call == "state" && result == "ok") {
-      auto known = Site.Jobs.find(id);
-      if (known != Site.Jobs.end() && known->second.Ended &&
-          !known->second.Shown && textIn(e.Fields, "state") != "running")
-        known->second.Shown = at;
+      auto knownJob = Site.Jobs.find(id);
+      if (knownJob != Site.Jobs.end() && knownJob->second.Ended &&
+          !knownJob->second.EndShown && textIn(e.Fields, "state") != "running")
+        knownJob->second.EndShown = at;
       return;
     }
     if (call != "submit")
       return;
     JobHistory &j = job(id);
-    const absl::Time began =
+    const absl::Time callStart =
         at - absl::Milliseconds(numberIn(e.Fields, "took_ms"));
-    j.FirstCall = std::min(j.FirstCall, began);
+    j.FirstCall = std::min(j.FirstCall, callStart);
     if (j.Accepted)
       return;
     j.CallResult = result;
-    j.CallWhy = textIn(e.Fields, "why");
-    j.Domain = Domains[textIn(e.Fields, "proc")];
+    j.CallReason = textIn(e.Fields, "why");
+    j.Domain = DomainByProcess[textIn(e.Fields, "proc")];
     if (j.Queue.empty())
       j.Queue = textIn(e.Fields, "queue");
     if (result != "ok")
@@ -129,7 +130,7 @@
     j.Organisation = textIn(e.Fields, "organisation");
   }
 
-  void takePromise(const LoggedEvent &e) {
+  void handleDeadlineSet(const LoggedEvent &e) {
     JobHistory &j = job(textIn(e.Fields, "job"));
     if (!j.Waves.empty())
       return;
@@ -141,14 +142,14 @@
     j.Target = absl::Milliseconds(numberIn(e.Fields, "target_ms"));
     for (absl::string_view step :
          absl::StrSplit(textIn(e.Fields, "steps"), "; "))
-      takeStep(j, step);
+      parseWaves(j, step);
     for (absl::string_view step :
          absl::StrSplit(textIn(e.Fields, "asked"), "; "))
-      takeAsked(j, std::string(step));
+      parseResources(j, std::string(step));
   }
 
   // "waves=2 after=0,1", as written by jobs::stepsText().
-  static void takeStep(JobHistory &j, absl::string_view step) {
+  static void parseWaves(JobHistory &j, absl::string_view step) {
     int waves = 1;
     std::vector<int> after;
     for (absl::string_view word : absl::StrSplit(step, ' ')) {
@@ -159,8 +160,8 @@
       if (part.first != "after")
         continue;
       int number = 0;
-      for (absl::string_view one : absl::StrSplit(part.second, ','))
-        if (absl::SimpleAtoi(one, &number))
+      for (absl::string_view item : absl::StrSplit(part.second, ','))
+        if (absl::SimpleAtoi(item, &number))
           after.push_back(number);
     }
     j.Waves.push_back(waves);
@@ -168,7 +169,7 @@
   }
 
   // "4x7500m/10992MB/8acc est=1020ms gang", as written by core::summary().
-  static void takeAsked(JobHistory &j, const std::string &step) {
+  static void parseResources(JobHistory &j, const std::string &step) {
     long long count = 0;
     long long milliCores = 0;
     long long memoryMb = 0;
@@ -176,14 +177,15 @@
     if (std::sscanf(step.c_str(), "%lldx%lldm/%lldMB/%lldacc", &count,
                     &milliCores, &memoryMb, &accelerators) != 4)
       return;
-    j.Weight.push_back(static_cast<double>(milliCores) / 1000 +
-                       CoresPerAccelerator * static_cast<double>(accelerators));
+    j.CoresPerTask.push_back(static_cast<double>(milliCores) / 1000 +
+                             CoresPerAccelerator *
+                                 static_cast<double>(accelerators));
     j.Checkpoints.push_back(absl::StrContains(step, " checkpoints"));
-    j.OneRack.push_back(absl::StrContains(step, " same_rack"));
+    j.SameRack.push_back(absl::StrContains(step, " same_rack"));
     j.Gang.push_back(absl::StrContains(step, " gang"));
   }
 
-  void takeJobEnd(const LoggedEvent &e, absl::Time at) {
+  void handleJobEnded(const LoggedEvent &e, absl::Time at) {
     JobHistory &j = job(textIn(e.Fields, "job"));
     j.Ended = at;
     j.State = textIn(e.Fields, "why");
@@ -205,7 +207,8 @@
     return &runs.back();
   }
 
-  void takeRun(const std::string &name, const LoggedEvent &e, absl::Time at) {
+  void handleRunEvent(const std::string &name, const LoggedEvent &e,
+                      absl::Time at) {
     RunHistory *r = run(e);
     if (r == nullptr)
       return;
@@ -214,57 +217,58 @@
       r->Placed = at;
     } else if (name == "run.started" && !r->Started) {
       r->Started = at;
-    } else if (name == "run.stopping" && !r->StopAsked) {
-      r->StopAsked = at;
-      r->StopWhy = why;
-      noteBeneficiary(why, at);
+    } else if (name == "run.stopping" && !r->StopRequested) {
+      r->StopRequested = at;
+      r->StopReason = why;
+      recordBeneficiary(why, at);
     } else if (name == "run.stands_still") {
-      r->StopWhy = why;
+      r->StopReason = why;
     } else if (name == "run.ended" && !r->Ended) {
       r->Ended = at;
-      r->How = why;
+      r->EndState = why;
     } else if ((name == "run.settled" || name == "run.refused") && !r->Ended) {
       r->Ended = at;
-      r->How = r->Started ? "lost" : "refused";
+      r->EndState = r->Started ? "lost" : "refused";
     }
   }
 
-  void noteBeneficiary(const std::string &why, absl::Time at) {
-    if (absl::StartsWith(why, MakesRoomFor))
-      job(why.substr(MakesRoomFor.size())).StopsForIt.push_back(at);
+  void recordBeneficiary(const std::string &why, absl::Time at) {
+    if (absl::StartsWith(why, CapacityStopPrefix))
+      job(why.substr(CapacityStopPrefix.size())).StopsForJob.push_back(at);
   }
 
-  // Workers are compared by tasks of one step, as the leader does; a gang's
-  // members end together and tell nothing.
-  void learnSpeeds() {
+  // Workers are compared by tasks of the same step, as the leader does. The
+  // members of a gang end together, so that their durations tell nothing about
+  // a single worker.
+  void estimateWorkerSpeeds() {
     jobs::SpeedBook speeds;
     for (const auto &[id, job] : Site.Jobs)
       for (const auto &[task, runs] : job.Tasks) {
         const auto step = static_cast<size_t>(task.Step);
-        if (runs.size() != 1 || runs[0].How != "done" || !runs[0].Started ||
-            step >= job.Gang.size() || job.Gang[step])
+        if (runs.size() != 1 || runs[0].EndState != "done" ||
+            !runs[0].Started || step >= job.Gang.size() || job.Gang[step])
           continue;
-        speeds.took(id + "." + std::to_string(task.Step), hostOf(runs[0]),
+        speeds.took(id + "." + std::to_string(task.Step), agentOf(runs[0]),
                     *runs[0].Ended - *runs[0].Started);
       }
     for (const auto &[id, job] : Site.Jobs)
       for (const auto &[task, runs] : job.Tasks)
         for (const RunHistory &run : runs)
-          if (speeds.isSlow(hostOf(run)))
-            Site.Slowness[run.Worker] = speeds.slowness(hostOf(run));
+          if (speeds.isSlow(agentOf(run)))
+            Site.Slowness[run.Worker] = speeds.slowness(agentOf(run));
   }
 
-  std::string hostOf(const RunHistory &run) const {
-    auto it = Hosts.find(run.Worker);
-    return it == Hosts.end() ? run.Worker : it->second;
+  std::string agentOf(const RunHistory &run) const {
+    auto it = AgentByWorker.find(run.Worker);
+    return it == AgentByWorker.end() ? run.Worker : it->second;
   }
 
   SiteHistory Site;
-  /// The agent beside a worker.
-  std::map<std::string, std::string> Hosts;
-  std::map<std::string, std::string> Domains;
-  std::map<std::string, absl::Time> StoreLostAt;
-  std::vector<absl::Time> Missed;
+  /// By worker: the agent that belongs to it.
+  std::map<std::string, std::string> AgentByWorker;
+  std::map<std::string, std::string> DomainByProcess;
+  std::map<std::string, absl::Time> StoreLostSince;
+  std::vector<absl::Time> LeaderLossTimes;
   std::optional<absl::Time> LeaderlessFrom;
   std::optional<absl::Time> ElectedAt;
 };
@@ -272,9 +276,9 @@
 } // namespace
 
 SiteHistory historyOf(const std::vector<LoggedEvent> &events) {
-  Reader reader;
+  HistoryReader reader;
   for (const LoggedEvent &e : events)
-    reader.take(e);
+    reader.handleEvent(e);
   return reader.finish();
 }
 
--- a/src/libs/losses/jobhistory.h
+++ b/src/libs/losses/jobhistory.h
@@ -13,10 +13,11 @@
 
 namespace oriolebay::losses {
 
-/// How a stop that makes room begins its reason; the job's id follows.
-inline const std::string MakesRoomFor = "makes room for job ";
+/// Prefix of the reason of a stop that frees capacity for another job; that
+/// job's id follows.
+inline const std::string CapacityStopPrefix = "makes room for job ";
 
-/// A stretch of time.
+/// A period of time.
 struct Span {
   absl::Time From = absl::InfinitePast();
   absl::Time To = absl::InfiniteFuture();
@@ -24,78 +25,87 @@
   absl::Duration length() const {
     return std::max(To - From, absl::ZeroDuration());
   }
-  /// What both have; an empty one when that is nothing.
-  Span within(const Span &other) const {
-    const Span both{std::max(From, other.From), std::min(To, other.To)};
-    return both.From < both.To ? both : Span{From, From};
+  /// Returns the intersection of both periods; an empty period when they do not
+  /// overlap.
+  Span intersection(const Span &other) const {
+    const Span overlap{std::max(From, other.From), std::min(To, other.To)};
+    return overlap.From < overlap.To ? overlap : Span{From, From};
   }
   auto operator<=>(const Span &) const = default;
 };
 
-/// One run of a task, as the logs tell it. A time that no line gives is empty.
+/// One run of a task as recorded in the logs. A time for which there is no log
+/// line is empty.
 struct RunHistory {
   int64_t Run = 0;
   std::string Worker;
   std::optional<absl::Time> Placed;
   std::optional<absl::Time> Started;
-  std::optional<absl::Time> StopAsked;
+  std::optional<absl::Time> StopRequested;
   std::optional<absl::Time> Ended;
-  std::string StopWhy;
-  /// As the worker listed the end (done, failed, stopped, lapsed, ...); "lost"
-  /// when it was settled without one, "refused" when it never began.
-  std::string How;
+  std::string StopReason;
+  /// End of the run as listed by the worker (done, failed, stopped, lapsed,
+  /// ...). "lost" when the run was resolved without a listed end, "refused"
+  /// when it never started.
+  std::string EndState;
 
   auto operator<=>(const RunHistory &) const = default;
 };
 
-/// One job from its first call on.
+/// History of one job from its first call.
 struct JobHistory {
   std::string Id;
   std::string Queue;
   std::string Organisation;
-  /// Where the entry stands that accepted it, or that refused it last.
+  /// Failure domain of the entry that accepted the job or that was the last to
+  /// refuse it.
   std::string Domain;
   int Priority = 0;
   double Stretch = 1;
   absl::Duration Target = absl::ZeroDuration();
-  /// By step, as promised.
+  /// Number of waves and preceding steps by step, as logged when the job's
+  /// deadline was set.
   std::vector<int> Waves;
   std::vector<std::vector<int>> After;
-  /// What one task of each step takes in core-seconds a second, accelerators
-  /// as eight cores; the steps that save their progress, those that want one
-  /// rack, and those whose tasks run as a gang.
-  std::vector<double> Weight;
+  /// By step: the cores that one task occupies, with an accelerator counted as
+  /// eight cores; whether its tasks save their progress; whether they need one
+  /// rack; and whether they run as a gang.
+  std::vector<double> CoresPerTask;
   std::vector<bool> Checkpoints;
-  std::vector<bool> OneRack;
+  std::vector<bool> SameRack;
   std::vector<bool> Gang;
 
   absl::Time FirstCall = absl::InfiniteFuture();
   std::optional<absl::Time> Accepted;
-  /// When the leader knew its end, and when a caller was first shown it.
+  /// Time when the leader recorded the job's end, and time when the end was
+  /// first returned to a caller.
   std::optional<absl::Time> Ended;
-  std::optional<absl::Time> Shown;
-  /// completed, failed or cancelled; empty when the logs have no end.
+  std::optional<absl::Time> EndShown;
+  /// completed, failed or cancelled; empty when the logs do not contain the
+  /// job's end.
   std::string State;
-  /// The last answer to a call that handed it in, and why.
+  /// Result and reason of the last answer to a call that submitted the job.
   std::string CallResult;
-  std::string CallWhy;
+  std::string CallReason;
   std::map<core::TaskId, std::vector<RunHistory>> Tasks;
-  /// Others were stopped for it at these times.
-  std::vector<absl::Time> StopsForIt;
+  /// Times when other work was stopped for this job.
+  std::vector<absl::Time> StopsForJob;
 
   bool operator==(const JobHistory &) const = default;
 };
 
-/// What the logs of a site tell: its jobs, and when all of them suffered.
+/// History of a site as recorded in its logs: its jobs, and the periods of
+/// outages that affect all jobs.
 struct SiteHistory {
   std::map<std::string, JobHistory> Jobs;
-  /// No entry led, or the one that did had not heard of any worker yet.
-  std::vector<Span> WithoutLeader;
-  /// By process: it could not reach the store.
-  std::map<std::string, std::vector<Span>> WithoutStore;
-  /// How many times as long as usual work takes at the slow workers.
+  /// Periods in which no entry was the leader, or in which the leader had not
+  /// yet received a report from any worker.
+  std::vector<Span> LeaderlessPeriods;
+  /// By process: periods in which it could not reach the store.
+  std::map<std::string, std::vector<Span>> StoreOutagePeriods;
+  /// By slow worker: factor by which its tasks take longer than usual.
   std::map<std::string, double> Slowness;
-  /// The entries that were elected, by time.
+  /// Elected entries by the time of their election.
   std::map<absl::Time, std::string> Leaders;
   absl::Time From = absl::InfiniteFuture();
   absl::Time To = absl::InfinitePast();
@@ -103,7 +113,7 @@
   bool operator==(const SiteHistory &) const = default;
 };
 
-/// Reads the history from events in the order of time.
+/// Builds the history from events, which must be in the order of time.
 SiteHistory historyOf(const std::vector<eventlog::LoggedEvent> &events);
 
 } // namespace oriolebay::losses
--- a/src/libs/losses/lossreport.cpp
+++ b/src/libs/losses/lossreport.cpp
@@ -13,38 +13,40 @@
 
 double seconds(absl::Duration d) { return absl::ToDoubleSeconds(d); }
 
-double rounded(absl::Duration d) {
+double toRoundedSeconds(absl::Duration d) {
   return static_cast<double>(absl::ToInt64Milliseconds(d)) / 1000;
 }
 
-/// Shares the account's lateness among what its time went to besides work.
-void shareLateness(const Account &account, Group &group) {
-  absl::Duration beyondWork = absl::ZeroDuration();
+/// Distributes the account's lateness over the causes of its time other than
+/// work.
+void distributeLateness(const Account &account, Group &group) {
+  absl::Duration timeBesidesWork = absl::ZeroDuration();
   for (const Segment &s : account.Path)
     if (s.What != Cause::Working)
-      beyondWork += s.length();
-  if (beyondWork <= absl::ZeroDuration())
+      timeBesidesWork += s.length();
+  if (timeBesidesWork <= absl::ZeroDuration())
     return;
-  const double share = absl::FDivDuration(account.late(), beyondWork);
+  const double latenessPerTime =
+      absl::FDivDuration(account.lateness(), timeBesidesWork);
   for (const Segment &s : account.Path)
     if (s.What != Cause::Working)
-      group.LateBy[s.What] += s.length() * share;
+      group.LatenessByCause[s.What] += s.length() * latenessPerTime;
 }
 
-/// Why a run's work was lost, without the ids in it.
-std::string wasteKind(const Waste &w, const SiteHistory &site) {
+/// Returns the reason why a run's work was discarded, without the ids in it.
+std::string discardReason(const Waste &w, const SiteHistory &site) {
   if (!w.ForJob.empty()) {
     auto job = site.Jobs.find(w.ForJob);
     const int priority = job == site.Jobs.end() ? 0 : job->second.Priority;
     return absl::StrCat("made room for priority ", priority);
   }
-  return w.Why.empty() ? w.How : w.Why;
+  return w.Reason.empty() ? w.EndState : w.Reason;
 }
 
-void count(const Account &account, Group &group) {
+void addToGroup(const Account &account, Group &group) {
   ++group.Jobs[account.What];
   if (account.What == Outcome::Late || account.What == Outcome::Worthless)
-    shareLateness(account, group);
+    distributeLateness(account, group);
 }
 
 std::string groupLine(const std::string &name, const Group &g) {
@@ -56,7 +58,7 @@
       "%-24s %5d %7d %5d %9d %7d %8d %9d %8.1f %9.0f\n", name, g.owed(),
       jobs(Outcome::InTime), jobs(Outcome::Late), jobs(Outcome::Worthless),
       jobs(Outcome::Failed), jobs(Outcome::Refused), jobs(Outcome::Cancelled),
-      seconds(g.late()), g.WastedCoreSeconds);
+      seconds(g.lateness()), g.DiscardedCoreSeconds);
 }
 
 template <class Map>
@@ -70,14 +72,14 @@
 
 void printCauses(const Group &all, std::ostream &out) {
   std::vector<std::pair<absl::Duration, Cause>> causes;
-  for (const auto &[cause, late] : all.LateBy)
-    causes.emplace_back(late, cause);
+  for (const auto &[cause, lateness] : all.LatenessByCause)
+    causes.emplace_back(lateness, cause);
   std::sort(causes.rbegin(), causes.rend());
   out << "\nlateness by cause, s\n";
-  for (const auto &[late, cause] : causes)
+  for (const auto &[lateness, cause] : causes)
     out << absl::StrFormat("  %-24s %8.2f  %4.0f%%\n", causeName(cause),
-                           seconds(late),
-                           100 * absl::FDivDuration(late, all.late()));
+                           seconds(lateness),
+                           100 * absl::FDivDuration(lateness, all.lateness()));
 }
 
 std::string pathText(const Account &account) {
@@ -93,12 +95,12 @@
   for (const auto &[outcome, n] : g.Jobs)
     jobs[outcomeName(outcome)] = n;
   nlohmann::json causes = nlohmann::json::object();
-  for (const auto &[cause, late] : g.LateBy)
-    causes[causeName(cause)] = rounded(late);
+  for (const auto &[cause, lateness] : g.LatenessByCause)
+    causes[causeName(cause)] = toRoundedSeconds(lateness);
   return {{"jobs", jobs},
-          {"late_s", rounded(g.late())},
+          {"late_s", toRoundedSeconds(g.lateness())},
           {"late_s_by_cause", causes},
-          {"wasted_core_s", g.WastedCoreSeconds}};
+          {"wasted_core_s", g.DiscardedCoreSeconds}};
 }
 
 template <class Map> nlohmann::json groupsJson(const Map &groups) {
@@ -108,7 +110,7 @@
   return out;
 }
 
-/// Colours that stay apart in print, by cause.
+/// Returns the colour of cause; the colours can be distinguished in print.
 const char *colourOf(Cause cause) {
   static const std::vector<const char *> colours = {
       "#4c72b0", "#8c8c8c", "#64b5cd", "#dd8452", "#c44e52", "#da8bc3",
@@ -120,23 +122,23 @@
 } // namespace
 
 int Group::owed() const {
-  return std::accumulate(Jobs.begin(), Jobs.end(), 0,
-                         [](int sum, const auto &one) {
-                           return sum + (isOwed(one.first) ? one.second : 0);
-                         });
+  return std::accumulate(
+      Jobs.begin(), Jobs.end(), 0, [](int sum, const auto &entry) {
+        return sum + (isOwed(entry.first) ? entry.second : 0);
+      });
 }
 
-absl::Duration Group::late() const {
+absl::Duration Group::lateness() const {
   absl::Duration sum = absl::ZeroDuration();
-  for (const auto &[cause, late] : LateBy)
-    sum += late;
+  for (const auto &[cause, lateness] : LatenessByCause)
+    sum += lateness;
   return sum;
 }
 
 Losses lossesOf(const SiteHistory &site) {
   Losses losses;
   for (const auto &[id, job] : site.Jobs) {
-    // Known only by name, from the reason of somebody else's stop.
+    // Known only by its id, from the reason of a stop of another job's run.
     if (job.FirstCall == absl::InfiniteFuture())
       continue;
     const Account account = accountOf(job, site);
@@ -146,12 +148,12 @@
          {&losses.All, &losses.ByQueue[job.Queue],
           &losses.ByOrganisation[job.Organisation],
           &losses.ByDomain[job.Domain], &losses.ByWindow[second]}) {
-      count(account, *group);
+      addToGroup(account, *group);
       for (const Waste &w : wasteOf(job))
-        group->WastedCoreSeconds += w.CoreSeconds;
+        group->DiscardedCoreSeconds += w.CoreSeconds;
     }
     for (const Waste &w : wasteOf(job))
-      losses.WasteBy[wasteKind(w, site)] += w.CoreSeconds;
+      losses.WasteBy[discardReason(w, site)] += w.CoreSeconds;
     if (account.What != Outcome::InTime && isOwed(account.What))
       losses.Lost.push_back(account);
   }
@@ -182,7 +184,7 @@
         "%8.2f %s %s priority=%d %s due=%.2f took=%.2f %s%s\n",
         seconds(job.FirstCall - site.From), a.Job, job.Queue, job.Priority,
         outcomeName(a.What), seconds(a.Due), seconds(a.Took), pathText(a),
-        job.Accepted ? "" : absl::StrCat(job.CallResult, ": ", job.CallWhy));
+        job.Accepted ? "" : absl::StrCat(job.CallResult, ": ", job.CallReason));
   }
 }
 
@@ -193,20 +195,20 @@
     nlohmann::json path = nlohmann::json::array();
     for (const Segment &s : a.Path)
       path.push_back({{"cause", causeName(s.What)},
-                      {"from_s", rounded(s.From - site.From)},
-                      {"to_s", rounded(s.To - site.From)}});
+                      {"from_s", toRoundedSeconds(s.From - site.From)},
+                      {"to_s", toRoundedSeconds(s.To - site.From)}});
     lost.push_back({{"job", a.Job},
                     {"queue", job.Queue},
                     {"organisation", job.Organisation},
                     {"domain", job.Domain},
                     {"priority", job.Priority},
                     {"outcome", outcomeName(a.What)},
-                    {"at_s", rounded(job.FirstCall - site.From)},
-                    {"due_s", rounded(a.Due)},
-                    {"took_s", rounded(a.Took)},
+                    {"at_s", toRoundedSeconds(job.FirstCall - site.From)},
+                    {"due_s", toRoundedSeconds(a.Due)},
+                    {"took_s", toRoundedSeconds(a.Took)},
                     {"main_cause", causeName(a.mainCause())},
                     {"call_result", job.CallResult},
-                    {"call_why", job.CallWhy},
+                    {"call_why", job.CallReason},
                     {"path", path}});
   }
   return {{"all", groupJson(losses.All)},
--- a/src/libs/losses/lossreport.h
+++ b/src/libs/losses/lossreport.h
@@ -11,42 +11,44 @@
 
 namespace oriolebay::losses {
 
-/// Jobs that have something in common, and what they lost.
+/// A group of jobs, such as those of one queue, and their losses.
 struct Group {
   std::map<Outcome, int> Jobs;
-  /// Lateness, shared among what a job's time went to besides its work.
-  std::map<Cause, absl::Duration> LateBy;
-  double WastedCoreSeconds = 0;
+  /// Lateness by cause. A job's lateness is distributed over the causes of its
+  /// time other than its work.
+  std::map<Cause, absl::Duration> LatenessByCause;
+  double DiscardedCoreSeconds = 0;
 
   int owed() const;
-  absl::Duration late() const;
+  absl::Duration lateness() const;
   bool operator==(const Group &) const = default;
 };
 
-/// What a site lost in the time of its logs, and to what.
+/// Losses of a site in the period of its logs, and their causes.
 struct Losses {
   Group All;
   std::map<std::string, Group> ByQueue;
   std::map<std::string, Group> ByOrganisation;
   std::map<std::string, Group> ByDomain;
-  /// By the second, from the first line of the logs, in which the jobs were
-  /// handed in; in steps of WindowSeconds.
+  /// By the time of submission of the jobs, in seconds since the first line of
+  /// the logs, in steps of WindowSeconds.
   std::map<int64_t, Group> ByWindow;
-  /// Jobs that did not end in time, by their first call.
+  /// Jobs that did not meet their deadline, in the order of their first call.
   std::vector<Account> Lost;
-  /// Core-seconds thrown away, by why the runs ended.
+  /// Core-seconds of discarded work by the reason why the runs ended.
   std::map<std::string, double> WasteBy;
 
   bool operator==(const Losses &) const = default;
 };
 
-/// Windows in which losses are counted, as the users do.
+/// Length in seconds of the windows in which losses are counted. The users
+/// count them in the same windows.
 constexpr int64_t WindowSeconds = 2;
 
 Losses lossesOf(const SiteHistory &site);
 
-/// A table for people; JSON for scripts; and a picture (SVG) of each lost job's
-/// time by cause.
+/// Print the losses as tables for people, as JSON for scripts, and as a picture
+/// (SVG) that shows the time of each lost job by cause.
 void printText(const Losses &losses, const SiteHistory &site,
                std::ostream &out);
 nlohmann::json toJson(const Losses &losses, const SiteHistory &site);
