--- a/src/app/agent/jobscommand.cpp
+++ b/src/app/agent/jobscommand.cpp
@@ -21,12 +21,12 @@
 
 namespace {
 
-/// Tasks that other threads may queue: heartbeats and orders.
+/// Maximum number of tasks that other threads may queue: heartbeats and orders.
 constexpr size_t LoopCapacity = 4096;
-/// Where entries register in the store.
+/// Prefix of the keys under which entries register in the store.
 constexpr const char *EntryPrefix = "oriolebay/entries/";
 
-/// One agent process from start to stop.
+/// An agent process from its start to its stop.
 class Process {
 public:
   Process(const settings::NodeSettings &settings)
@@ -47,7 +47,7 @@
               Agent.onLeave(life);
             }) {
     if (Settings.Metrics.Port > 0)
-      MetricsFront = std::make_unique<metrics::MetricsServer>(
+      MetricsHttpServer = std::make_unique<metrics::MetricsServer>(
           Loop, Metrics, [this](metrics::ProcessMetrics &m) { refresh(m); },
           Settings.Metrics.Host, Settings.Metrics.Port);
   }
@@ -86,7 +86,7 @@
   metrics::ProcessMetrics Metrics;
   WorkerAgent Agent;
   adapter::HeartbeatFront Heartbeats;
-  std::unique_ptr<metrics::MetricsServer> MetricsFront;
+  std::unique_ptr<metrics::MetricsServer> MetricsHttpServer;
 };
 
 } // namespace
--- a/src/app/agent/jobscommand.h
+++ b/src/app/agent/jobscommand.h
@@ -4,8 +4,9 @@
 
 namespace oriolebay::agent {
 
-/// Serves lasting jobs with the settings at path until SIGTERM or SIGINT;
-/// returns the process's exit status (2: the settings cannot be used).
+/// Serves jobs that are kept in the store, with the settings at path, until
+/// SIGTERM or SIGINT. Returns the process's exit status (2: the settings cannot
+/// be used).
 int serveJobs(const std::string &path);
 
 } // namespace oriolebay::agent
--- a/src/app/common/processrunner.cpp
+++ b/src/app/common/processrunner.cpp
@@ -46,7 +46,8 @@
   sigset_t set = stopSignals();
   sigaddset(&set, SIGHUP);
   sigaddset(&set, SIGUSR1);
-  // A peer that closed its connection shows as an error of the write.
+  // A connection that was closed by its peer is reported as an error of the
+  // write.
   std::signal(SIGPIPE, SIG_IGN);
   pthread_sigmask(SIG_BLOCK, &set, nullptr);
 }
--- a/src/app/common/signalthread.cpp
+++ b/src/app/common/signalthread.cpp
@@ -19,7 +19,7 @@
         }
       }) {}
 
-// SIGUSR1, blocked everywhere else, ends the wait.
+// SIGUSR1, which is blocked in all other threads, ends the wait.
 SignalThread::~SignalThread() {
   pthread_kill(Thread.native_handle(), SIGUSR1);
   Thread.join();
--- a/src/app/common/signalthread.h
+++ b/src/app/common/signalthread.h
@@ -5,11 +5,13 @@
 
 namespace oriolebay::app {
 
-/// Waits for signals on a thread of its own and hands each on. Signals must
-/// have been blocked with blockStopSignals() before any thread was started.
+/// Waits for signals on its own thread and passes each one to a callback. The
+/// signals must have been blocked with blockStopSignals() before any thread was
+/// started.
 class SignalThread {
 public:
-  /// onStop: SIGTERM or SIGINT; onReload: SIGHUP. Both run on this thread.
+  /// onStop is called for SIGTERM and SIGINT, onReload for SIGHUP. Both run on
+  /// this object's thread.
   SignalThread(std::function<void()> onStop, std::function<void()> onReload);
   ~SignalThread();
   SignalThread(const SignalThread &) = delete;
--- a/src/app/entry/jobscommand.cpp
+++ b/src/app/entry/jobscommand.cpp
@@ -23,28 +23,31 @@
 
 namespace {
 
-/// Tasks that other threads may queue: a few for each connection.
+/// Maximum number of tasks that other threads may queue: a few for each
+/// connection.
 constexpr size_t LoopCapacity = 8192;
-/// After SIGTERM the balancer asks twice, a second apart, before it sends no
-/// new connection here; callers on open ones go on until then.
-constexpr absl::Duration BalancerNotices = absl::Milliseconds(2400);
-constexpr absl::Duration LookAgain = absl::Milliseconds(100);
+/// Time that the load balancer needs to notice a stopping process: it checks
+/// readiness twice, a second apart, before it stops sending new connections
+/// here. Callers on open connections continue until then.
+constexpr absl::Duration BalancerDetectionTime = absl::Milliseconds(2400);
+constexpr absl::Duration IdleCheckInterval = absl::Milliseconds(100);
 
-/// One entry process from start to stop.
+/// An entry process from its start to its stop.
 class Process {
 public:
   Process(const settings::NodeSettings &settings)
       : Settings(settings), Loop(LoopCapacity),
         Entry(Loop, adapter::makeStore(Loop, Client, Settings.Store.text()),
               endpoints::makeNngPeers(Loop, "tcp://" + Settings.Peers.text()),
-              Settings, adapter::readConfig, adapter::ConfigKey, counting()),
+              Settings, adapter::readConfig, adapter::ConfigKey,
+              metricObservers()),
         Callers(Loop, Entry.desk(), Settings.Callers.Host,
                 Settings.Callers.Port),
         Ready(
             Loop, [this](std::string *why) { return Entry.ready(why); },
             Settings.Ready.Host, Settings.Ready.Port) {
     if (Settings.Metrics.Port > 0)
-      MetricsFront = std::make_unique<metrics::MetricsServer>(
+      MetricsHttpServer = std::make_unique<metrics::MetricsServer>(
           Loop, Metrics, [this](metrics::ProcessMetrics &m) { refresh(m); },
           Settings.Metrics.Host, Settings.Metrics.Port);
   }
@@ -60,7 +63,7 @@
   }
 
 private:
-  EntryObservers counting() {
+  EntryObservers metricObservers() {
     EntryObservers o;
     o.Called = [this](const jobs::CallDecision &d) {
       Metrics.callAnswered(d.Call, jobs::callResultName(d.Answer.Result),
@@ -68,8 +71,8 @@
     };
     o.Decided = [this](const jobs::Decision &d) { countDecision(d); };
     o.StoreCalled = [this](const char *call, platform::StoreStatus status,
-                           absl::Duration took) {
-      Metrics.storeCalled(call, platform::storeStatusName(status), took);
+                           absl::Duration duration) {
+      Metrics.storeCalled(call, platform::storeStatusName(status), duration);
     };
     return o;
   }
@@ -107,23 +110,24 @@
   }
 
   void stop() {
-    if (StopBegan != absl::InfinitePast())
+    if (StopStartedAt != absl::InfinitePast())
       return;
-    StopBegan = utils::bootNow();
+    StopStartedAt = utils::bootNow();
     Entry.beginStop();
     Callers.closeAfterAnswers();
-    leaveWhenIdle();
+    exitWhenIdle();
   }
 
-  void leaveWhenIdle() {
-    const absl::Duration since = utils::bootNow() - StopBegan;
-    const bool idle = since >= BalancerNotices && Callers.unanswered() == 0;
-    if (idle || since >= settings::deriveTiming(Settings).LeaveBy) {
+  void exitWhenIdle() {
+    const absl::Duration sinceStop = utils::bootNow() - StopStartedAt;
+    const bool idle =
+        sinceStop >= BalancerDetectionTime && Callers.unanswered() == 0;
+    if (idle || sinceStop >= settings::deriveTiming(Settings).LeaveBy) {
       logEvent(Event::ProcessStopped, {{"unanswered", Callers.unanswered()}});
       Loop.stop();
       return;
     }
-    Loop.runAfter(LookAgain, [this] { leaveWhenIdle(); });
+    Loop.runAfter(IdleCheckInterval, [this] { exitWhenIdle(); });
   }
 
   const settings::NodeSettings Settings;
@@ -133,8 +137,8 @@
   JobEntry Entry;
   adapter::CallerFront Callers;
   adapter::ReadyFront Ready;
-  std::unique_ptr<metrics::MetricsServer> MetricsFront;
-  absl::Time StopBegan = absl::InfinitePast();
+  std::unique_ptr<metrics::MetricsServer> MetricsHttpServer;
+  absl::Time StopStartedAt = absl::InfinitePast();
 };
 
 } // namespace
--- a/src/app/entry/logcommands.cpp
+++ b/src/app/entry/logcommands.cpp
@@ -31,15 +31,16 @@
   return vm.count(name) ? vm[name].as<std::string>() : "";
 }
 
-// Reads an option that holds a point of time. False when it is none.
-bool readTime(const po::variables_map &vm, const char *name,
-              std::optional<int64_t> &out) {
+// Parses an option that contains a time. Returns false when it is not a valid
+// time.
+bool parseTimeOption(const po::variables_map &vm, const char *name,
+                     std::optional<int64_t> &out) {
   if (!vm.count(name))
     return true;
   absl::Time time;
   std::string why;
   if (!absl::ParseTime(absl::RFC3339_full, valueOf(vm, name), &time, &why)) {
-    std::cerr << "oriolebay-entry: --" << name << " is no time: " << why
+    std::cerr << "oriolebay-entry: --" << name << " is not a time: " << why
               << " (remedy: write it as 2026-01-31T23:59:59.5Z)\n";
     return false;
   }
@@ -47,9 +48,10 @@
   return true;
 }
 
-// Says what of the files was not used. False when one could not be read: a
-// story with a process missing would mislead.
-bool tellUnused(const ReadEvents &read) {
+// Prints which parts of the files were not used. Returns false when a file
+// could not be read, because a time line that lacks a process would be
+// misleading.
+bool reportUnusedInput(const ReadEvents &read) {
   if (read.Skipped > 0)
     std::cerr << read.Skipped << " lines were not events\n";
   for (const std::string &path : read.Unreadable)
@@ -58,7 +60,8 @@
   return read.Unreadable.empty();
 }
 
-int show(const std::vector<LoggedEvent> &events, const po::variables_map &vm) {
+int printEvents(const std::vector<LoggedEvent> &events,
+                const po::variables_map &vm) {
   if (events.empty()) {
     std::cerr << "oriolebay-entry: no such event (remedy: give the logs of all "
                  "processes and of the whole time)\n";
@@ -88,42 +91,40 @@
       "to", po::value<std::string>(), "timeline: not after");
 }
 
-int showTimeline(const std::vector<std::string> &words,
+int showTimeline(const std::vector<std::string> &args,
                  const po::variables_map &vm) {
-  if (words.size() < 2)
+  if (args.size() < 2)
     return usage("timeline FILE... [options]");
   EventFilter filter;
   filter.Process = valueOf(vm, "process");
   filter.Worker = valueOf(vm, "worker");
   filter.Organisation = valueOf(vm, "organisation");
   filter.Name = valueOf(vm, "event");
-  if (!readTime(vm, "from", filter.FromUs) || !readTime(vm, "to", filter.ToUs))
+  if (!parseTimeOption(vm, "from", filter.FromUs) ||
+      !parseTimeOption(vm, "to", filter.ToUs))
     return ExitUsage;
-  const ReadEvents read =
-      eventlog::readEvents({words.begin() + 1, words.end()});
-  if (!tellUnused(read))
+  const ReadEvents read = eventlog::readEvents({args.begin() + 1, args.end()});
+  if (!reportUnusedInput(read))
     return ExitUsage;
-  return show(eventlog::select(read.Events, filter), vm);
+  return printEvents(eventlog::select(read.Events, filter), vm);
 }
 
-int explainJob(const std::vector<std::string> &words,
+int explainJob(const std::vector<std::string> &args,
                const po::variables_map &vm) {
-  if (words.size() < 3)
+  if (args.size() < 3)
     return usage("explain JOB FILE... [--json]");
-  const ReadEvents read =
-      eventlog::readEvents({words.begin() + 2, words.end()});
-  if (!tellUnused(read))
+  const ReadEvents read = eventlog::readEvents({args.begin() + 2, args.end()});
+  if (!reportUnusedInput(read))
     return ExitUsage;
-  return show(eventlog::storyOf(words[1], read.Events), vm);
+  return printEvents(eventlog::storyOf(args[1], read.Events), vm);
 }
 
-int showLosses(const std::vector<std::string> &words,
+int showLosses(const std::vector<std::string> &args,
                const po::variables_map &vm) {
-  if (words.size() < 2)
+  if (args.size() < 2)
     return usage("losses FILE... [--json] [--svg FILE]");
-  const ReadEvents read =
-      eventlog::readEvents({words.begin() + 1, words.end()});
-  if (!tellUnused(read))
+  const ReadEvents read = eventlog::readEvents({args.begin() + 1, args.end()});
+  if (!reportUnusedInput(read))
     return ExitUsage;
   const losses::SiteHistory site = losses::historyOf(read.Events);
   if (site.Jobs.empty()) {
@@ -131,10 +132,10 @@
                  "of all entries)\n";
     return ExitNothingFound;
   }
-  const losses::Losses found = losses::lossesOf(site);
+  const losses::Losses siteLosses = losses::lossesOf(site);
   if (vm.count("svg")) {
     std::ofstream svg(valueOf(vm, "svg"));
-    losses::printSvg(found, site, svg);
+    losses::printSvg(siteLosses, site, svg);
     if (!svg) {
       std::cerr << "oriolebay-entry: cannot write " << valueOf(vm, "svg")
                 << " (remedy: name a file that this user may write)\n";
@@ -142,9 +143,9 @@
     }
   }
   if (vm.count("json"))
-    std::cout << losses::toJson(found, site).dump(2) << '\n';
+    std::cout << losses::toJson(siteLosses, site).dump(2) << '\n';
   else
-    losses::printText(found, site, std::cout);
+    losses::printText(siteLosses, site, std::cout);
   return ExitFound;
 }
 
--- a/src/app/entry/main.cpp
+++ b/src/app/entry/main.cpp
@@ -129,7 +129,8 @@
     return entry::explainJob(args, vm);
   if (args[0] == "losses")
     return entry::showLosses(args, vm);
-  // All that follows may start threads, which must not take the stop signals.
+  // The commands below may start threads, which must not receive the stop
+  // signals.
   app::blockStopSignals();
   if (args[0] == "serve" && vm.count("settings"))
     return serve(vm["settings"].as<std::string>());
--- a/src/libs/callers/callerapi.h
+++ b/src/libs/callers/callerapi.h
@@ -12,31 +12,33 @@
 
 namespace oriolebay::callers {
 
-/// The HTTP interface for callers. POST /v1/jobs takes a JobRequest in JSON
-/// and answers with that caller's own JobAnswer once the job has ended or
-/// the system has given up on it (then with Retry-After). DELETE
-/// /v1/jobs/ORGANISATION/ID cancels a job; its caller hears. GET /v1/stats
-/// gives the entry's counters; GET /healthz says whether it takes work.
+/// HTTP interface for callers. POST /v1/jobs takes a JobRequest in JSON and
+/// answers with that caller's own JobAnswer once the job has ended or the
+/// system has given up on it (then with Retry-After). DELETE
+/// /v1/jobs/ORGANISATION/ID cancels a job; the caller that submitted it is
+/// notified by its answer. GET /v1/stats returns the entry's counters; GET
+/// /healthz tells whether the entry accepts work.
 class CallerApi {
 public:
   using Submit = std::function<core::JobAnswer(const core::JobRequest &)>;
-  /// Cancels an organisation's jobs with an id; false when no entry that leads
-  /// could be reached.
+  /// Cancels an organisation's jobs with the given id. Returns false when no
+  /// leader could be reached.
   using Cancel = std::function<bool(const std::string &organisation,
                                     const std::string &jobId)>;
   using Stats = std::function<nlohmann::json()>;
 
-  /// Listens on host:port (0: a free port) for up to maxConnections callers,
-  /// each of which holds its connection until its job has ended. Throws
-  /// std::runtime_error when the port cannot be bound.
+  /// Listens on host:port (port 0 picks a free one) for up to maxConnections
+  /// callers, each of which keeps its connection until its job has ended.
+  /// Throws std::runtime_error when the port cannot be bound.
   CallerApi(const std::string &host, int port, int maxConnections,
             Submit submit, Cancel cancel, Stats stats);
 
   int port() const { return Server->port(); }
   void stop() { Server->stop(); }
 
-  /// The HTTP status for answer: 200 when it ran, 422 when it can never run,
-  /// 400 for a bad request, 503 when it may run later.
+  /// Returns the HTTP status for answer: 200 when the job ran, 202 while it is
+  /// in progress, 422 when it can never run, 400 for an invalid request, 503
+  /// when it may run later.
   static int statusOf(const core::JobAnswer &answer);
 
 private:
@@ -51,11 +53,11 @@
   std::unique_ptr<http::HttpServer> Server;
 };
 
-/// Checks a request before it is queued; an empty string means valid, else
-/// the reason it is not, naming what to fix.
+/// Validates a request before it is queued. Returns the reason why it is
+/// invalid and what to fix; empty when it is valid.
 std::string validate(const core::JobRequest &job);
 
-/// The largest gang the system accepts, in members.
+/// Maximum number of members of a gang.
 constexpr int MaxGangMembers = 128;
 
 } // namespace oriolebay::callers
--- a/src/libs/http/asyncclient.cpp
+++ b/src/libs/http/asyncclient.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-/// Connections kept open between calls, over all hosts. An agent speaks to
-/// two hosts, an entry to the store with a few calls side by side.
+/// Maximum number of connections kept open between calls, over all hosts. An
+/// agent connects to two hosts, an entry to the store with a few concurrent
+/// calls.
 constexpr long MaxIdleConnections = 16;
-/// How long the client's thread sleeps when nothing happens; calls and
-/// answers wake it at once.
+/// Maximum time for which the client's thread sleeps without events; calls and
+/// answers wake it immediately.
 constexpr int IdleWaitMs = 60000;
 
 struct Transfer {
@@ -42,7 +43,7 @@
   return size * n;
 }
 
-// "http://host:port/path" -> "host:port"
+// Returns "host:port" of a URL such as "http://host:port/path".
 std::string hostOf(const std::string &url) {
   const size_t begin = url.find("//");
   if (begin == std::string::npos)
@@ -58,25 +59,25 @@
   CURLM *Multi = nullptr;
   std::atomic<bool> Stopping{false};
   std::mutex Mu;
-  std::deque<std::unique_ptr<Transfer>> Waiting;
+  std::deque<std::unique_ptr<Transfer>> QueuedTransfers;
 
-  // Owned by the client's thread.
-  std::map<CURL *, std::unique_ptr<Transfer>> Running;
-  std::set<std::string> Distrusted;
-  std::deque<CURL *> Spare;
+  // Accessed only by the client's thread.
+  std::map<CURL *, std::unique_ptr<Transfer>> RunningTransfers;
+  std::set<std::string> HostsNeedingNewConnection;
+  std::deque<CURL *> IdleHandles;
   std::thread Thread;
 
-  void begin(std::unique_ptr<Transfer> transfer);
-  void finish(CURL *handle, CURLcode ec);
-  void serve();
+  void startTransfer(std::unique_ptr<Transfer> transfer);
+  void finishTransfer(CURL *handle, CURLcode ec);
+  void run();
 };
 
-void AsyncClient::Impl::begin(std::unique_ptr<Transfer> transfer) {
+void AsyncClient::Impl::startTransfer(std::unique_ptr<Transfer> transfer) {
   Transfer &t = *transfer;
   t.Host = hostOf(t.Call.Url);
-  if (!Spare.empty()) {
-    t.Handle = Spare.front();
-    Spare.pop_front();
+  if (!IdleHandles.empty()) {
+    t.Handle = IdleHandles.front();
+    IdleHandles.pop_front();
     curl_easy_reset(t.Handle);
   } else {
     t.Handle = curl_easy_init();
@@ -88,28 +89,30 @@
   curl_easy_setopt(h, CURLOPT_TIMEOUT_MS, t.Call.TimeoutMs);
   curl_easy_setopt(h, CURLOPT_WRITEFUNCTION, &appendReply);
   curl_easy_setopt(h, CURLOPT_WRITEDATA, &t.Reply);
-  // Without a body no content type: some peers reject a GET that has one.
+  // Requests without a body have no content type, because some peers reject a
+  // GET that has one.
   if (t.Call.Method != "GET") {
     t.Headers = curl_slist_append(t.Headers, "Content-Type: application/json");
     curl_easy_setopt(h, CURLOPT_POSTFIELDS, t.Call.Body.data());
     curl_easy_setopt(h, CURLOPT_POSTFIELDSIZE,
                      static_cast<long>(t.Call.Body.size()));
-    // curl would wait up to a second for "100 Continue" with large bodies.
+    // Disables "100 Continue", for which curl would wait up to a second with
+    // large bodies.
     t.Headers = curl_slist_append(t.Headers, "Expect:");
   }
   for (const std::string &header : t.Call.Headers)
     t.Headers = curl_slist_append(t.Headers, header.c_str());
   curl_easy_setopt(h, CURLOPT_HTTPHEADER, t.Headers);
-  if (t.Call.FreshConnection || Distrusted.erase(t.Host) > 0)
+  if (t.Call.FreshConnection || HostsNeedingNewConnection.erase(t.Host) > 0)
     curl_easy_setopt(h, CURLOPT_FRESH_CONNECT, 1L);
   curl_multi_add_handle(Multi, h);
-  Running.emplace(h, std::move(transfer));
+  RunningTransfers.emplace(h, std::move(transfer));
 }
 
-void AsyncClient::Impl::finish(CURL *handle, CURLcode ec) {
-  auto it = Running.find(handle);
+void AsyncClient::Impl::finishTransfer(CURL *handle, CURLcode ec) {
+  auto it = RunningTransfers.find(handle);
   std::unique_ptr<Transfer> t = std::move(it->second);
-  Running.erase(it);
+  RunningTransfers.erase(it);
   HttpResult result;
   if (ec == CURLE_OK) {
     long status = 0;
@@ -125,39 +128,39 @@
     result.Refused = ec == CURLE_COULDNT_CONNECT && osError == ECONNREFUSED;
     result.Error = curl_easy_strerror(ec);
     if (ec == CURLE_OPERATION_TIMEDOUT)
-      Distrusted.insert(t->Host);
+      HostsNeedingNewConnection.insert(t->Host);
   }
   curl_multi_remove_handle(Multi, handle);
-  Spare.push_back(handle);
+  IdleHandles.push_back(handle);
   t->Handle = nullptr;
   t->Done(std::move(result));
 }
 
-void AsyncClient::Impl::serve() {
+void AsyncClient::Impl::run() {
   while (!Stopping) {
     std::deque<std::unique_ptr<Transfer>> batch;
     {
       std::lock_guard<std::mutex> lock(Mu);
-      batch.swap(Waiting);
+      batch.swap(QueuedTransfers);
     }
     for (auto &transfer : batch)
-      begin(std::move(transfer));
+      startTransfer(std::move(transfer));
     int running = 0;
     curl_multi_perform(Multi, &running);
     int left = 0;
-    bool ended = false;
+    bool hasEnded = false;
     while (CURLMsg *msg = curl_multi_info_read(Multi, &left))
       if (msg->msg == CURLMSG_DONE) {
-        finish(msg->easy_handle, msg->data.result);
-        ended = true;
+        finishTransfer(msg->easy_handle, msg->data.result);
+        hasEnded = true;
       }
-    if (!ended)
+    if (!hasEnded)
       curl_multi_poll(Multi, nullptr, 0, IdleWaitMs, nullptr);
   }
-  for (auto &[handle, transfer] : Running)
+  for (auto &[handle, transfer] : RunningTransfers)
     curl_multi_remove_handle(Multi, handle);
-  Running.clear();
-  for (CURL *handle : Spare)
+  RunningTransfers.clear();
+  for (CURL *handle : IdleHandles)
     curl_easy_cleanup(handle);
 }
 
@@ -166,7 +169,7 @@
   (void)initialised;
   D->Multi = curl_multi_init();
   curl_multi_setopt(D->Multi, CURLMOPT_MAXCONNECTS, MaxIdleConnections);
-  D->Thread = std::thread([this] { D->serve(); });
+  D->Thread = std::thread([this] { D->run(); });
 }
 
 AsyncClient::~AsyncClient() {
@@ -182,7 +185,7 @@
   transfer->Done = std::move(done);
   {
     std::lock_guard<std::mutex> lock(D->Mu);
-    D->Waiting.push_back(std::move(transfer));
+    D->QueuedTransfers.push_back(std::move(transfer));
   }
   curl_multi_wakeup(D->Multi);
 }
--- a/src/libs/http/asyncclient.h
+++ b/src/libs/http/asyncclient.h
@@ -10,8 +10,8 @@
 
 namespace oriolebay::http {
 
-/// One call of an AsyncClient. TimeoutMs bounds it whole, connecting included.
-/// FreshConnection keeps it off connections that were used before.
+/// One call of an AsyncClient. TimeoutMs limits the whole call, including the
+/// time to connect. FreshConnection makes the call open a new connection.
 struct HttpCall {
   std::string Method = "GET";
   std::string Url;
@@ -21,22 +21,22 @@
   bool FreshConnection = false;
 };
 
-/// An HTTP client whose calls run side by side on one thread (libcurl's multi
+/// An HTTP client whose calls run concurrently on one thread (libcurl's multi
 /// interface), with connections kept alive between calls. After a call that
-/// timed out the next call to the same host opens a new connection: something
-/// between the two ends may have lost track of all the old ones, and these
-/// stay silent for good without a reset.
+/// timed out, the next call to the same host opens a new connection: a network
+/// device between both ends may have lost the state of all older connections,
+/// which then stay silent forever without a reset.
 class AsyncClient {
 public:
   using Done = std::function<void(HttpResult)>;
 
   AsyncClient();
-  /// Calls that have not ended are dropped; their Done is not called.
+  /// Drops calls that have not ended; their Done is not called.
   ~AsyncClient();
   AsyncClient(const AsyncClient &) = delete;
   AsyncClient &operator=(const AsyncClient &) = delete;
 
-  /// Starts call. Done runs on the client's thread and must be quick.
+  /// Starts call. Done runs on the client's thread and must return quickly.
   void call(HttpCall call, Done done);
 
 private:
--- a/src/libs/http/asyncserver.cpp
+++ b/src/libs/http/asyncserver.cpp
@@ -14,8 +14,9 @@
 
 namespace {
 
-/// Idle connections are kept this long: longer than callers keep theirs, so
-/// that the caller closes first and no request meets a closing connection.
+/// Time for which idle connections are kept. It is longer than the time for
+/// which callers keep theirs, so that the caller closes first and no request is
+/// sent on a connection that is being closed.
 constexpr unsigned IdleTimeoutS = 120;
 
 /// One request from its first byte to the end of its answer.
@@ -23,7 +24,7 @@
   MHD_Connection *Connection = nullptr;
   std::string Body;
   bool TooLarge = false;
-  bool Handed = false;
+  bool IsHandedOver = false;
   // Guarded by the server's mutex.
   bool Suspended = false;
   std::optional<HttpResponse> Answer;
@@ -36,40 +37,42 @@
   Handler Serve;
   MHD_Daemon *Daemon = nullptr;
   int Port = 0;
-  std::atomic<bool> Closing{false};
+  std::atomic<bool> ClosesAfterAnswers{false};
   std::atomic<int> Unanswered{0};
   std::mutex Mu;
-  std::set<std::shared_ptr<Exchange>> Open;
+  std::set<std::shared_ptr<Exchange>> OpenExchanges;
   bool Stopped = false;
 
-  HttpRequest read(Exchange &exchange, const char *url, const char *method);
+  HttpRequest makeRequest(Exchange &exchange, const char *url,
+                          const char *method);
   void answer(const std::shared_ptr<Exchange> &exchange, HttpResponse response);
   MHD_Result send(MHD_Connection *connection, const HttpResponse &response);
 };
 
 namespace {
 
-using State = std::shared_ptr<Exchange>;
+using ExchangePtr = std::shared_ptr<Exchange>;
 
-// The request's Respond dropped without an answer still ends it.
+// Answers a request; one whose Respond is destroyed without an answer gets an
+// error.
 class Responder {
 public:
-  Responder(std::weak_ptr<AsyncServer::Impl> server, State request)
+  Responder(std::weak_ptr<AsyncServer::Impl> server, ExchangePtr request)
       : Server(std::move(server)), Request(std::move(request)) {}
   Responder(const Responder &) = delete;
   Responder &operator=(const Responder &) = delete;
 
-  void give(HttpResponse response) {
+  void respond(HttpResponse response) {
     if (auto server = Server.lock())
       server->answer(Request, std::move(response));
   }
   ~Responder() {
-    give({500, R"({"error":"the request was dropped; try again"})"});
+    respond({500, R"({"error":"the request was dropped; try again"})"});
   }
 
 private:
   const std::weak_ptr<AsyncServer::Impl> Server;
-  const State Request;
+  const ExchangePtr Request;
 };
 
 struct ServerRef {
@@ -78,8 +81,8 @@
 
 } // namespace
 
-HttpRequest AsyncServer::Impl::read(Exchange &exchange, const char *url,
-                                    const char *method) {
+HttpRequest AsyncServer::Impl::makeRequest(Exchange &exchange, const char *url,
+                                           const char *method) {
   HttpRequest request{method, url, std::move(exchange.Body)};
   for (const std::string &name : Options.KeptHeaders) {
     const char *value = MHD_lookup_connection_value(
@@ -90,9 +93,10 @@
   return request;
 }
 
-void AsyncServer::Impl::answer(const State &exchange, HttpResponse response) {
+void AsyncServer::Impl::answer(const ExchangePtr &exchange,
+                               HttpResponse response) {
   std::lock_guard<std::mutex> lock(Mu);
-  if (exchange->Answer || Open.count(exchange) == 0)
+  if (exchange->Answer || OpenExchanges.count(exchange) == 0)
     return;
   exchange->Answer = std::move(response);
   if (exchange->Suspended) {
@@ -109,7 +113,7 @@
   MHD_add_response_header(reply, "Content-Type", response.ContentType.c_str());
   for (const auto &[name, value] : response.Headers)
     MHD_add_response_header(reply, name.c_str(), value.c_str());
-  if (Closing)
+  if (ClosesAfterAnswers)
     MHD_add_response_header(reply, "Connection", "close");
   const MHD_Result ec = MHD_queue_response(
       connection, static_cast<unsigned>(response.Status), reply);
@@ -130,11 +134,11 @@
     exchange->Connection = connection;
     ++server->Unanswered;
     std::lock_guard<std::mutex> lock(server->Mu);
-    server->Open.insert(exchange);
-    *state = new State(std::move(exchange));
+    server->OpenExchanges.insert(exchange);
+    *state = new ExchangePtr(std::move(exchange));
     return MHD_YES;
   }
-  const State exchange = *static_cast<State *>(*state);
+  const ExchangePtr exchange = *static_cast<ExchangePtr *>(*state);
   if (*size != 0) {
     if (exchange->Body.size() + *size > server->Options.MaxBodyBytes)
       exchange->TooLarge = true;
@@ -147,12 +151,12 @@
     return server->send(
         connection,
         {413, R"({"error":"the body is too large; send a smaller one"})"});
-  if (!exchange->Handed) {
-    exchange->Handed = true;
+  if (!exchange->IsHandedOver) {
+    exchange->IsHandedOver = true;
     auto responder = std::make_shared<Responder>(server, exchange);
     server->Serve(
-        server->read(*exchange, url, method),
-        [responder](HttpResponse r) { responder->give(std::move(r)); });
+        server->makeRequest(*exchange, url, method),
+        [responder](HttpResponse r) { responder->respond(std::move(r)); });
   }
   std::lock_guard<std::mutex> lock(server->Mu);
   if (exchange->Answer)
@@ -164,15 +168,15 @@
 
 void onCompleted(void *cls, MHD_Connection * /*connection*/, void **state,
                  MHD_RequestTerminationCode /*code*/) {
-  auto *held = static_cast<State *>(*state);
-  if (held == nullptr)
+  auto *storedExchange = static_cast<ExchangePtr *>(*state);
+  if (storedExchange == nullptr)
     return;
   if (auto server = static_cast<ServerRef *>(cls)->Server.lock()) {
     --server->Unanswered;
     std::lock_guard<std::mutex> lock(server->Mu);
-    server->Open.erase(*held);
+    server->OpenExchanges.erase(*storedExchange);
   }
-  delete held;
+  delete storedExchange;
   *state = nullptr;
 }
 
@@ -189,8 +193,8 @@
     throw std::runtime_error("not an IPv4 address: " + D->Options.Host);
   // Lives as long as the daemon, which ends with the process or in stop().
   auto *ref = new ServerRef{D};
-  // Without the library's address reuse option, which would let a second
-  // process listen on the same address and take half of the connections.
+  // The library's address reuse option is not used: it would let a second
+  // process listen on the same address and receive half of the connections.
   D->Daemon = MHD_start_daemon(
       MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME |
           MHD_USE_ERROR_LOG,
@@ -214,20 +218,20 @@
 
 int AsyncServer::port() const { return D->Port; }
 
-void AsyncServer::closeAfterAnswers() { D->Closing = true; }
+void AsyncServer::closeAfterAnswers() { D->ClosesAfterAnswers = true; }
 
 int AsyncServer::unanswered() const { return D->Unanswered; }
 
 void AsyncServer::stop() {
-  std::set<State> open;
+  std::set<ExchangePtr> openExchanges;
   {
     std::lock_guard<std::mutex> lock(D->Mu);
     if (D->Stopped)
       return;
     D->Stopped = true;
-    open = D->Open;
+    openExchanges = D->OpenExchanges;
   }
-  for (const State &exchange : open)
+  for (const ExchangePtr &exchange : openExchanges)
     D->answer(exchange, {503, R"({"error":"stopping; try another entry"})"});
   MHD_stop_daemon(D->Daemon);
 }
--- a/src/libs/http/asyncserver.h
+++ b/src/libs/http/asyncserver.h
@@ -9,27 +9,29 @@
 
 namespace oriolebay::http {
 
-/// What an AsyncServer listens on and accepts.
+/// Address and limits of an AsyncServer.
 struct AsyncServerOptions {
   std::string Host = "127.0.0.1";
   /// Zero picks a free port.
   int Port = 0;
   int MaxConnections = 1024;
-  /// Larger bodies are answered with 413 and not read to their end.
+  /// Maximum size of a request's body. Larger ones are answered with 413 and
+  /// are not stored.
   size_t MaxBodyBytes = 1 << 20;
-  /// Request headers that HttpRequest::Headers keeps.
+  /// Names of the request headers that are stored in HttpRequest::Headers.
   std::vector<std::string> KeptHeaders;
 };
 
-/// An HTTP/1.1 server on libmicrohttpd with one thread for all connections.
-/// The handler gets each request whole and may answer later, from any thread;
-/// until then the connection waits without a thread of its own.
+/// An HTTP/1.1 server based on libmicrohttpd, with one thread for all
+/// connections. The handler gets each complete request and may answer it later,
+/// from any thread; until then the connection waits without a thread of its
+/// own.
 class AsyncServer {
 public:
-  /// Gives the answer; further calls are ignored. A request whose Respond is
-  /// dropped unanswered gets 500.
+  /// Sends the answer; further calls are ignored. A request is answered with
+  /// 500 when its Respond is destroyed without having been called.
   using Respond = std::function<void(HttpResponse)>;
-  /// Runs on the server's thread and must be quick.
+  /// Runs on the server's thread and must return quickly.
   using Handler = std::function<void(HttpRequest, Respond)>;
 
   /// Throws std::runtime_error when the address cannot be bound.
@@ -39,12 +41,12 @@
   AsyncServer &operator=(const AsyncServer &) = delete;
 
   int port() const;
-  /// From now on each answer closes its connection, so that callers go to
-  /// another process with their next request.
+  /// From now on closes each connection after its answer, so that callers send
+  /// their next request to another process.
   void closeAfterAnswers();
-  /// Requests whose answer has not been sent whole.
+  /// Returns the number of requests whose answer has not been sent completely.
   int unanswered() const;
-  /// Requests that still wait are answered with 503, then all is closed.
+  /// Answers pending requests with 503 and then closes all connections.
   void stop();
 
   struct Impl;
--- a/src/libs/http/httpclient.cpp
+++ b/src/libs/http/httpclient.cpp
@@ -17,8 +17,9 @@
 } // namespace
 
 HttpClient::HttpClient(long timeoutMs) : D(std::make_unique<Impl>()) {
-  // libcurl must be initialised once before any thread uses it; a static
-  // local runs exactly once even when clients are made on several threads.
+  // libcurl must be initialised once before any thread uses it. A static local
+  // variable is initialised exactly once, even when several threads create
+  // clients.
   static const CURLcode initialised = curl_global_init(CURL_GLOBAL_DEFAULT);
   (void)initialised;
   D->Handle = curl_easy_init();
--- a/src/libs/http/httpclient.h
+++ b/src/libs/http/httpclient.h
@@ -5,27 +5,28 @@
 
 namespace oriolebay::http {
 
-/// What a call returned. Status is zero when no HTTP answer came at all
-/// (refused, timed out, connection lost); Error then says why. Sent says
-/// whether any byte of the request had left: if not, the peer cannot have
-/// acted on it. Both Sent and Refused: it left on a connection that was open,
-/// which broke, and the next one was refused.
+/// Result of a call. Status is zero when there was no HTTP answer at all
+/// (connection refused, timeout, connection lost); Error then contains the
+/// reason. Sent tells whether any byte of the request was sent: if not, the
+/// peer cannot have acted on it. When both Sent and Refused are set, the
+/// request was sent on an open connection that broke, and the next connection
+/// was refused.
 struct HttpResult {
   int Status = 0;
   std::string Body;
   std::string Error;
   bool Sent = true;
-  /// The connection was refused: nothing listens at the address.
+  /// The connection was refused: no process listens at the address.
   bool Refused = false;
 
   bool answered() const { return Status != 0; }
 };
 
-/// A blocking HTTP client on libcurl, one connection kept alive. Not safe to
-/// share between threads: give each thread its own.
+/// A blocking HTTP client based on libcurl that keeps one connection alive. It
+/// is not thread-safe; each thread needs its own client.
 class HttpClient {
 public:
-  /// TimeoutMs bounds each whole call, connection included.
+  /// timeoutMs limits each whole call, including the time to connect.
   explicit HttpClient(long timeoutMs);
   ~HttpClient();
   HttpClient(const HttpClient &) = delete;
--- a/src/libs/losses/attribution.cpp
+++ b/src/libs/losses/attribution.cpp
@@ -162,7 +162,7 @@
       : Job(job), Site(site), Cursor(job.EndShown.value_or(*job.Ended)) {}
 
   std::vector<Segment> build() {
-    attributeUntil(*Job.Ended, Cause::Showing);
+    attributeFrom(*Job.Ended, Cause::Showing);
     int step = lastStep();
     while (step >= 0) {
       const StepTimes times(Job, Site, 0, step);
@@ -173,14 +173,14 @@
     }
     const absl::Time accepted = Job.Accepted.value_or(Job.FirstCall);
     addWait(accepted, -1);
-    attributeUntil(Job.FirstCall, Cause::Accepting);
+    attributeFrom(Job.FirstCall, Cause::Accepting);
     std::reverse(Out.begin(), Out.end());
     return std::move(Out);
   }
 
 private:
   // Attributes the time between from and the cursor to cause.
-  void attributeUntil(absl::Time from, Cause cause) {
+  void attributeFrom(absl::Time from, Cause cause) {
     if (from >= Cursor)
       return;
     Out.push_back({cause, from, Cursor});
@@ -243,12 +243,12 @@
       if (isDone(run)) {
         const absl::Duration excess = durationOf(run) - healthyDuration;
         if (excess > absl::ZeroDuration())
-          attributeUntil(*run.Ended - excess, Cause::SlowWorker);
-        attributeUntil(*run.Started, Cause::Working);
+          attributeFrom(*run.Ended - excess, Cause::SlowWorker);
+        attributeFrom(*run.Started, Cause::Working);
       } else if (isSaved(run, flagOf(Job.Checkpoints, id.Step))) {
-        attributeUntil(*run.Started, Cause::Working);
+        attributeFrom(*run.Started, Cause::Working);
       } else {
-        attributeUntil(*run.Started, causeOf(run, id));
+        attributeFrom(*run.Started, causeOf(run, id));
       }
     }
     if (run.Placed)
@@ -288,7 +288,7 @@
   }
 
   // Attributes a wait from the time from to the cursor, for a task of the step;
-  // a step of -1 means that no task was runnable yet.
+  // a step of -1 means that no step was ready yet.
   void addWait(absl::Time from, int step) {
     if (from >= Cursor)
       return;
@@ -318,11 +318,11 @@
       const Span period{from, Cursor};
       const std::optional<Segment> last = lastOutage(period);
       if (!last) {
-        attributeUntil(from, cause);
+        attributeFrom(from, cause);
         return;
       }
-      attributeUntil(last->To, cause);
-      attributeUntil(last->From, last->What);
+      attributeFrom(last->To, cause);
+      attributeFrom(last->From, last->What);
     }
   }
 
@@ -463,12 +463,12 @@
   absl::Duration longestPath = absl::ZeroDuration();
   for (size_t s = 0; s < job.Waves.size(); ++s) {
     const int step = static_cast<int>(s);
-    absl::Duration predecessors = absl::ZeroDuration();
+    absl::Duration longestPredecessor = absl::ZeroDuration();
     for (int after : job.After[s])
-      predecessors =
-          std::max(predecessors, pathLengths[static_cast<size_t>(after)]);
+      longestPredecessor =
+          std::max(longestPredecessor, pathLengths[static_cast<size_t>(after)]);
     pathLengths[s] =
-        predecessors +
+        longestPredecessor +
         StepTimes(job, site, 0, step).healthyDuration() * job.Waves[s] +
         timeLostToOwnFailures(job, 0, step, site);
     longestPath = std::max(longestPath, pathLengths[s]);
--- a/src/libs/metrics/metricsserver.cpp
+++ b/src/libs/metrics/metricsserver.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// One reader, and one more that asks by hand.
-constexpr int MostConnections = 4;
+/// Maximum number of connections: enough for one collector of metrics and one
+/// person who requests them manually.
+constexpr int ConnectionLimit = 4;
 constexpr const char *Path = "/metrics";
 constexpr const char *TextFormat = "text/plain; version=0.0.4";
 
@@ -22,7 +23,7 @@
   http::AsyncServerOptions options;
   options.Host = host;
   options.Port = port;
-  options.MaxConnections = MostConnections;
+  options.MaxConnections = ConnectionLimit;
   auto answer = [&loop, &metrics, refresh = std::move(refresh)](
                     const http::HttpRequest &request,
                     const http::AsyncServer::Respond &respond) {
--- a/src/libs/metrics/metricsserver.h
+++ b/src/libs/metrics/metricsserver.h
@@ -13,19 +13,20 @@
 
 namespace oriolebay::metrics {
 
-/// Serves a process's metrics as text at /metrics. Its thread sleeps until
-/// somebody asks, so that it costs nothing while nobody does.
+/// Serves the metrics of a process in text form at /metrics. Its thread sleeps
+/// between requests, so that it costs nothing while nobody reads metrics.
 class MetricsServer {
 public:
-  /// Brings the gauges up to date; runs on the event loop before each answer.
+  /// Updates the gauges; runs on the event loop before each answer.
   using Refresh = std::function<void(ProcessMetrics &)>;
 
-  /// When the address cannot be had that is logged, and the process goes on
-  /// without: metrics never stop service.
+  /// When the address cannot be bound, this is logged and the process continues
+  /// without a metrics server: a failure of metrics must never stop the
+  /// service.
   MetricsServer(utils::EventLoop &loop, ProcessMetrics &metrics,
                 Refresh refresh, const std::string &host, int port);
 
-  /// Zero when it does not serve.
+  /// Returns the port; zero when the server could not be started.
   int port() const { return Server ? Server->port() : 0; }
 
 private:
--- a/src/libs/metrics/processmetrics.cpp
+++ b/src/libs/metrics/processmetrics.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-/// Upper bounds in seconds. Calls: the store answers in 4 ms, callers wait for
-/// some seconds.
+/// Upper bounds of the histogram buckets for calls, in seconds. The store
+/// answers in 4 ms; callers wait for some seconds.
 const Histogram::BucketBoundaries CallBuckets = {
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
-/// Jobs: urgent ones are due after one second or two, others run for hours.
+/// Upper bounds of the histogram buckets for jobs, in seconds. Urgent jobs are
+/// due after one or two seconds; others run for hours.
 const Histogram::BucketBoundaries JobBuckets = {
     0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 300, 1800, 7200};
 
@@ -30,7 +31,7 @@
   return prometheus::BuildHistogram().Name(name).Help(help).Register(registry);
 }
 
-void raiseTo(Counter &counter, int64_t total) {
+void increaseTo(Counter &counter, int64_t total) {
   counter.Increment(static_cast<double>(total) - counter.Value());
 }
 
@@ -59,31 +60,31 @@
 
 void ProcessMetrics::callAnswered(const std::string &call,
                                   const std::string &result,
-                                  absl::Duration took) {
+                                  absl::Duration duration) {
   Calls.Add({{"call", call}, {"result", result}}).Increment();
   CallSeconds.Add({{"call", call}}, CallBuckets)
-      .Observe(absl::ToDoubleSeconds(took));
+      .Observe(absl::ToDoubleSeconds(duration));
 }
 
 void ProcessMetrics::storeCalled(const std::string &call,
                                  const std::string &status,
-                                 absl::Duration took) {
+                                 absl::Duration duration) {
   StoreCalls.Add({{"call", call}, {"status", status}}).Increment();
   StoreSeconds.Add({{"call", call}}, CallBuckets)
-      .Observe(absl::ToDoubleSeconds(took));
+      .Observe(absl::ToDoubleSeconds(duration));
 }
 
-void ProcessMetrics::runPlaced(int rank, absl::Duration waited) {
+void ProcessMetrics::runPlaced(int rank, absl::Duration waitTime) {
   PlacementSeconds.Add({{"rank", std::to_string(rank)}}, JobBuckets)
-      .Observe(absl::ToDoubleSeconds(waited));
+      .Observe(absl::ToDoubleSeconds(waitTime));
 }
 
 void ProcessMetrics::jobEnded(const std::string &state, int priority,
-                              absl::Duration took) {
+                              absl::Duration duration) {
   JobSeconds
       .Add({{"state", state}, {"priority", std::to_string(priority)}},
            JobBuckets)
-      .Observe(absl::ToDoubleSeconds(took));
+      .Observe(absl::ToDoubleSeconds(duration));
 }
 
 void ProcessMetrics::orderConcluded(const std::string &outcome) {
@@ -102,8 +103,8 @@
 
 void ProcessMetrics::countEvents() {
   for (const auto &[event, total] : eventlog::eventCounts())
-    raiseTo(Events.Add({{"event", eventlog::eventName(event)}}), total);
-  raiseTo(LinesLeftOut.Add({}), eventlog::linesLeftOut());
+    increaseTo(Events.Add({{"event", eventlog::eventName(event)}}), total);
+  increaseTo(LinesLeftOut.Add({}), eventlog::linesLeftOut());
 }
 
 std::string ProcessMetrics::text() {
--- a/src/libs/metrics/processmetrics.h
+++ b/src/libs/metrics/processmetrics.h
@@ -12,29 +12,32 @@
 
 namespace oriolebay::metrics {
 
-/// Counters, gauges and latency histograms of one process, named after the
-/// conventions of Prometheus. May be used from any thread; counting costs about
-/// a microsecond and never waits for whoever reads.
+/// Counters, gauges and latency histograms of one process, named by the
+/// conventions of Prometheus. Thread-safe. Counting costs about a microsecond
+/// and never waits for readers.
 class ProcessMetrics {
 public:
   ProcessMetrics();
 
-  /// A caller's call was answered.
+  /// Counts a caller's call that was answered.
   void callAnswered(const std::string &call, const std::string &result,
-                    absl::Duration took);
-  /// A call to the platform's store was answered, or given up on.
+                    absl::Duration duration);
+  /// Counts a call to the platform's store that was answered or given up on.
   void storeCalled(const std::string &call, const std::string &status,
-                   absl::Duration took);
-  /// A run was placed, so long after its job was accepted.
-  void runPlaced(int rank, absl::Duration waited);
-  /// A job is over, so long after it was accepted.
-  void jobEnded(const std::string &state, int priority, absl::Duration took);
-  /// An agent has an order's outcome.
+                   absl::Duration duration);
+  /// Records that a run was placed, and the time between the acceptance of its
+  /// job and the placement.
+  void runPlaced(int rank, absl::Duration waitTime);
+  /// Records that a job ended, and the time between its acceptance and its end.
+  void jobEnded(const std::string &state, int priority,
+                absl::Duration duration);
+  /// Counts an order whose outcome an agent knows.
   void orderConcluded(const std::string &outcome);
 
   void set(const std::string &gauge, const std::string &help, double value);
 
-  /// All of it in Prometheus' text format, with the event log's own counts.
+  /// Returns all metrics in the text format of Prometheus, including the event
+  /// log's counters.
   std::string text();
 
 private:
--- a/src/libs/utils/boottime.h
+++ b/src/libs/utils/boottime.h
@@ -6,10 +6,11 @@
 
 namespace oriolebay::utils {
 
-/// A clock that never jumps and counts the time that the host was suspended,
-/// as an absl::Time (its zero is arbitrary). Ages and leases that are compared
-/// with another host's use it: after a suspension the steady clock shows a
-/// lease as still held that lapsed everywhere else.
+/// Returns the time of the boot clock as an absl::Time (its zero is arbitrary).
+/// This clock never jumps and includes the time for which the host was
+/// suspended. It is used for ages and leases that are compared with those of
+/// another host: after a suspension the steady clock would still show a lease
+/// as held that has lapsed on all other hosts.
 inline absl::Time bootNow() {
   timespec ts{};
   clock_gettime(CLOCK_BOOTTIME, &ts);
--- a/src/libs/utils/boundedqueue.h
+++ b/src/libs/utils/boundedqueue.h
@@ -9,14 +9,15 @@
 
 namespace oriolebay::utils {
 
-/// A bounded queue that joins the thread of one duty to the thread of the
-/// next. A full queue refuses at once instead of blocking, so that the
-/// producer can answer its caller with "come back later" straight away.
+/// A bounded queue between the thread of one processing stage and the thread of
+/// the next. A full queue refuses an item immediately instead of blocking, so
+/// that the producer can tell its caller without delay to retry later.
 template <class T> class BoundedQueue {
 public:
   explicit BoundedQueue(size_t capacity) : Capacity(capacity) {}
 
-  /// Adds item unless the queue is full or closed; false means refused.
+  /// Adds item unless the queue is full or closed. Returns false when item was
+  /// refused.
   bool tryPush(T item) {
     absl::MutexLock lock(&Mu);
     if (Closed || Items.size() >= Capacity)
@@ -25,8 +26,9 @@
     return true;
   }
 
-  /// Takes the oldest item, waiting up to timeout. Empty when the time runs
-  /// out or the queue is closed and drained.
+  /// Removes and returns the oldest item, waiting up to timeout for one.
+  /// Returns nothing when the time runs out or when the queue is closed and
+  /// empty.
   std::optional<T> pop(absl::Duration timeout) {
     absl::MutexLock lock(&Mu);
     auto ready = [this] { return !Items.empty() || Closed; };
@@ -38,7 +40,7 @@
     return item;
   }
 
-  /// Refuses new items; those queued can still be taken.
+  /// Refuses new items from now on; queued items can still be removed.
   void close() {
     absl::MutexLock lock(&Mu);
     Closed = true;
--- a/src/libs/utils/eventloop.cpp
+++ b/src/libs/utils/eventloop.cpp
@@ -9,7 +9,7 @@
   if (Stopped || Tasks.size() >= Capacity)
     return false;
   Tasks.push_back(std::move(task));
-  Wake.notify_one();
+  WakeUp.notify_one();
   return true;
 }
 
@@ -18,18 +18,20 @@
   if (Stopped)
     return;
   Tasks.push_back(std::move(task));
-  Wake.notify_one();
+  WakeUp.notify_one();
 }
 
 EventLoop::Clock::time_point EventLoop::timerNow() const {
-  return Kind == Time::Real ? Clock::now() : Clock::time_point(Advanced);
+  return TimeKind == Time::Real ? Clock::now()
+                                : Clock::time_point(ManualElapsed);
 }
 
 absl::Time EventLoop::now() const {
-  if (Kind == Time::Real)
+  if (TimeKind == Time::Real)
     return bootNow();
-  // Some way from zero, so that nothing seems to have happened at the start.
-  return absl::UnixEpoch() + absl::Hours(1) + absl::FromChrono(Advanced);
+  // Manual time starts an hour after zero, so that a time of zero does not look
+  // like a recent event at the start.
+  return absl::UnixEpoch() + absl::Hours(1) + absl::FromChrono(ManualElapsed);
 }
 
 EventLoop::TimerId EventLoop::runAfter(absl::Duration delay, Task task) {
@@ -63,15 +65,15 @@
   while (true) {
     std::deque<Task> batch;
     {
-      // std::condition_variable waits on the steady clock. absl's waits on
-      // the time of day: when that jumps back, a timer would be late by the
-      // jump, and leases would lapse.
+      // std::condition_variable waits on the steady clock. absl's condition
+      // variable waits on the time of day: when that jumps back, a timer is
+      // late by the size of the jump, and leases lapse.
       std::unique_lock<std::mutex> lock(Mu);
       auto ready = [this] { return Stopped || !Tasks.empty(); };
       if (Timers.empty())
-        Wake.wait(lock, ready);
+        WakeUp.wait(lock, ready);
       else
-        Wake.wait_until(lock, Timers.begin()->first.first, ready);
+        WakeUp.wait_until(lock, Timers.begin()->first.first, ready);
       if (Stopped)
         return;
       batch.swap(Tasks);
@@ -100,18 +102,18 @@
       timerNow() + absl::ToChronoNanoseconds(duration);
   runTasks();
   while (!Timers.empty() && Timers.begin()->first.first <= end) {
-    Advanced =
-        std::max(Advanced, Timers.begin()->first.first.time_since_epoch());
+    ManualElapsed =
+        std::max(ManualElapsed, Timers.begin()->first.first.time_since_epoch());
     runDueTimers();
     runTasks();
   }
-  Advanced = end.time_since_epoch();
+  ManualElapsed = end.time_since_epoch();
 }
 
 void EventLoop::stop() {
   std::lock_guard<std::mutex> lock(Mu);
   Stopped = true;
-  Wake.notify_all();
+  WakeUp.notify_all();
 }
 
 } // namespace oriolebay::utils
--- a/src/libs/utils/eventloop.h
+++ b/src/libs/utils/eventloop.h
@@ -12,10 +12,10 @@
 
 namespace oriolebay::utils {
 
-/// One thread that owns a process's state. Other threads hand it tasks through
-/// a bounded queue; timers run on it as well. The thread that calls run() is
-/// the owner. A loop with manual time has no thread: its tasks and timers run
-/// in advance(), as if the time had passed.
+/// An event loop whose thread owns the state of a process. Other threads pass
+/// it tasks through a bounded queue; timers run on it as well. The thread that
+/// calls run() is the owner. A loop with manual time has no thread: its tasks
+/// and timers run in advance(), as if the time had passed.
 class EventLoop {
 public:
   using Task = std::function<void()>;
@@ -23,30 +23,31 @@
 
   enum class Time { Real, Manual };
 
-  /// Capacity bounds the tasks that tryPost() queues.
+  /// Capacity limits the number of tasks that tryPost() queues.
   explicit EventLoop(size_t capacity, Time time = Time::Real)
-      : Capacity(capacity), Kind(time) {}
+      : Capacity(capacity), TimeKind(time) {}
 
-  /// The boot clock, or the manual time: see bootNow().
+  /// Returns the time of the boot clock (see bootNow()), or the manual time.
   absl::Time now() const;
 
-  /// Queues task unless the queue is full or the loop has stopped. For work
-  /// that its sender can refuse.
+  /// Queues task unless the queue is full or the loop has stopped. For tasks
+  /// whose sender can handle a refusal.
   bool tryPost(Task task);
-  /// Queues task beyond the bound too. For answers to calls that this loop
-  /// made itself, whose number it bounds; dropped once the loop has stopped.
+  /// Queues task even when the queue is full. For answers to calls that this
+  /// loop itself made and whose number it limits. Tasks are dropped once the
+  /// loop has stopped.
   void post(Task task);
 
   /// Runs task on the loop's thread once delay has passed. Owner thread only.
   TimerId runAfter(absl::Duration delay, Task task);
-  /// Forgets a timer; one that ran already is ignored. Owner thread only.
+  /// Cancels a timer; does nothing when it has already run. Owner thread only.
   void cancel(TimerId id);
 
-  /// Serves tasks and timers until stop() is called.
+  /// Runs tasks and timers until stop() is called.
   void run();
   void stop();
 
-  /// Manual time only: runs all that is due within the next duration.
+  /// Manual time only: runs all tasks and timers that are due within duration.
   void advance(absl::Duration duration);
 
 private:
@@ -56,17 +57,17 @@
   void runDueTimers();
 
   const size_t Capacity;
-  const Time Kind;
+  const Time TimeKind;
   std::mutex Mu;
-  std::condition_variable Wake;
+  std::condition_variable WakeUp;
   std::deque<Task> Tasks;
   bool Stopped = false;
 
-  // Owned by the loop's thread.
+  // Accessed only by the loop's thread.
   std::map<std::pair<Clock::time_point, TimerId>, Task> Timers;
   std::map<TimerId, Clock::time_point> DueTimes;
   TimerId NextTimer = 1;
-  Clock::duration Advanced = Clock::duration::zero();
+  Clock::duration ManualElapsed = Clock::duration::zero();
 };
 
 } // namespace oriolebay::utils
--- a/src/libs/utils/jsonfields.h
+++ b/src/libs/utils/jsonfields.h
@@ -7,13 +7,15 @@
 
 namespace oriolebay::utils {
 
-/// The text that object has under key; empty when it is missing or no text.
+/// Returns the string that object has under key; empty when it is missing or
+/// not a string.
 inline std::string textIn(const nlohmann::json &object, const char *key) {
   auto it = object.find(key);
   return it != object.end() && it->is_string() ? it->get<std::string>() : "";
 }
 
-/// The number that object has under key; zero when it is missing or no number.
+/// Returns the number that object has under key; zero when it is missing or not
+/// a number.
 inline int64_t numberIn(const nlohmann::json &object, const char *key) {
   auto it = object.find(key);
   return it != object.end() && it->is_number() ? it->get<int64_t>() : 0;
--- a/src/libs/utils/steadyclock.h
+++ b/src/libs/utils/steadyclock.h
@@ -6,9 +6,9 @@
 
 namespace oriolebay::utils {
 
-/// The steady clock as an absl::Time (its zero is arbitrary). Every lease and
-/// timeout uses it: the time of day jumps on some hosts, which would make a
-/// lease look lapsed, or held for ever.
+/// Returns the time of the steady clock as an absl::Time (its zero is
+/// arbitrary). Leases and timeouts use it because the time of day jumps on some
+/// hosts, which would make a lease appear lapsed or held forever.
 inline absl::Time steadyNow() {
   return absl::UnixEpoch() +
          absl::FromChrono(std::chrono::steady_clock::now().time_since_epoch());
--- a/src/libs/utils/walltime.h
+++ b/src/libs/utils/walltime.h
@@ -6,10 +6,10 @@
 
 namespace oriolebay::utils {
 
-/// The time of day as the host has it at this moment. absl::Now() goes by the
-/// processor's cycle counter between two looks at the host's clock, so that it
-/// follows a step of that clock, or a pause of the process, seconds late: log
-/// lines of one moment then stood seconds apart.
+/// Returns the time of day from the host's clock. absl::Now() extrapolates from
+/// the processor's cycle counter between two readings of that clock, and
+/// therefore follows a step of the clock, or a pause of the process, seconds
+/// late: log lines of the same moment then differed by seconds.
 inline absl::Time wallNow() {
   timespec ts{};
   clock_gettime(CLOCK_REALTIME, &ts);
