--- a/src/app/entry/logcommands.h
+++ b/src/app/entry/logcommands.h
@@ -10,7 +10,7 @@
 /// Adds the options of the commands that read logs.
 void addLogOptions(boost::program_options::options_description &opts);
 
-/// `timeline FILE...`: prints the events of all processes in time order. words
+/// `timeline FILE...`: prints the events of all processes in time order. args
 /// contains the command and its files. Returns the exit code, which is 1 when
 /// no event was found.
 int showTimeline(const std::vector<std::string> &args,
--- a/src/libs/eventlog/eventlog.h
+++ b/src/libs/eventlog/eventlog.h
@@ -14,9 +14,9 @@
 
 /// Starts writing the events of this process as JSON lines to path, or to
 /// standard output when path is empty. Call this once at start, before any
-/// other thread logs; events before that are dropped. process names the process
-/// in the time line (for example "entry-1"). Returns BadSettings when path
-/// cannot be written.
+/// other thread logs; events before that are dropped. process is the name of
+/// this process in the time line (for example "entry-1"). Returns BadSettings
+/// when path cannot be written.
 ///
 /// A separate thread writes the lines, so that neither a slow reader of
 /// standard output nor a flood of events ever blocks a caller: lines that
--- a/src/libs/losses/jobhistory.cpp
+++ b/src/libs/losses/jobhistory.cpp
@@ -93,7 +93,7 @@
     }
   }
 
-  JobHistory &job(const std::string &id) {
+  JobHistory &findOrAddJob(const std::string &id) {
     JobHistory &j = Site.Jobs[id];
     j.Id = id;
     return j;
@@ -112,7 +112,7 @@
     }
     if (call != "submit")
       return;
-    JobHistory &j = job(id);
+    JobHistory &j = findOrAddJob(id);
     const absl::Time callStart =
         at - absl::Milliseconds(numberIn(e.Fields, "took_ms"));
     j.FirstCall = std::min(j.FirstCall, callStart);
@@ -131,7 +131,7 @@
   }
 
   void handleDeadlineSet(const LoggedEvent &e) {
-    JobHistory &j = job(textIn(e.Fields, "job"));
+    JobHistory &j = findOrAddJob(textIn(e.Fields, "job"));
     if (!j.Waves.empty())
       return;
     j.Queue = textIn(e.Fields, "queue");
@@ -186,17 +186,17 @@
   }
 
   void handleJobEnded(const LoggedEvent &e, absl::Time at) {
-    JobHistory &j = job(textIn(e.Fields, "job"));
+    JobHistory &j = findOrAddJob(textIn(e.Fields, "job"));
     j.Ended = at;
     j.State = textIn(e.Fields, "why");
   }
 
-  RunHistory *run(const LoggedEvent &e) {
+  RunHistory *findOrAddRun(const LoggedEvent &e) {
     core::TaskId id;
     if (!core::parseTaskName(textIn(e.Fields, "task"), id))
       return nullptr;
     const int64_t number = numberIn(e.Fields, "run");
-    std::vector<RunHistory> &runs = job(id.Job).Tasks[id];
+    std::vector<RunHistory> &runs = findOrAddJob(id.Job).Tasks[id];
     auto it = std::find_if(runs.begin(), runs.end(), [&](const RunHistory &r) {
       return r.Run == number;
     });
@@ -209,7 +209,7 @@
 
   void handleRunEvent(const std::string &name, const LoggedEvent &e,
                       absl::Time at) {
-    RunHistory *r = run(e);
+    RunHistory *r = findOrAddRun(e);
     if (r == nullptr)
       return;
     const std::string why = textIn(e.Fields, "why");
@@ -234,7 +234,8 @@
 
   void recordBeneficiary(const std::string &why, absl::Time at) {
     if (absl::StartsWith(why, CapacityStopPrefix))
-      job(why.substr(CapacityStopPrefix.size())).StopsForJob.push_back(at);
+      findOrAddJob(why.substr(CapacityStopPrefix.size()))
+          .StopsForJob.push_back(at);
   }
 
   // Workers are compared by tasks of the same step, as the leader does. The
