--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -33,7 +33,7 @@
 
 /// Follows the operator's configuration on one event loop and keeps track of
 /// how fresh the local view is. A silent watch does not prove that nothing
-/// changed: it may have broken while changes are made. The view is therefore
+/// changed: it may stay silent while changes are made. The view is therefore
 /// confirmed by a transaction without writes that expects the known revision,
 /// which the store answers from its newest state. Versions never decrease. A
 /// configuration that cannot be parsed is refused, and the last valid one stays
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -99,8 +99,10 @@
   absl::Duration ConfirmEvery;
   /// Maximum age of a view of the configuration that was confirmed in time.
   absl::Duration FreshConfig;
-  /// Maximum age of the view of the configuration with which calls are served.
+  /// Maximum age of a view of the configuration. Calls are not served with
+  /// older views.
   absl::Duration OldestConfig;
+  /// Age of the view from which a process reports itself as not ready.
   absl::Duration NotReadyAfter;
   /// Time after which capacity is freed for work within its organisation's
   /// guarantee, however much work that discards. The stop itself, the writes to
