--- a/src/app/common/processrunner.h
+++ b/src/app/common/processrunner.h
@@ -16,9 +16,9 @@
     const boost::program_options::positional_options_description &pos,
     boost::program_options::variables_map &vm);
 
-/// Blocks SIGTERM, SIGINT and SIGHUP in all threads that are started after this
-/// call, so that only waitForStop() or a SignalThread receives them, and
-/// ignores SIGPIPE. Must be called first in main().
+/// Blocks SIGTERM, SIGINT, SIGHUP and SIGUSR1 in all threads that are started
+/// after this call, so that only waitForStop() or a SignalThread receives them,
+/// and ignores SIGPIPE. Must be called first in main().
 void blockStopSignals();
 
 /// Waits for SIGTERM or SIGINT. Calls sample() once a second and exports the
--- a/src/app/entry/logcommands.cpp
+++ b/src/app/entry/logcommands.cpp
@@ -40,7 +40,7 @@
   absl::Time time;
   std::string why;
   if (!absl::ParseTime(absl::RFC3339_full, valueOf(vm, name), &time, &why)) {
-    std::cerr << "oriolebay-entry: --" << name << " is not a time: " << why
+    std::cerr << "oriolebay-entry: --" << name << " is no time: " << why
               << " (remedy: write it as 2026-01-31T23:59:59.5Z)\n";
     return false;
   }
--- a/src/libs/callers/callerapi.h
+++ b/src/libs/callers/callerapi.h
@@ -17,7 +17,7 @@
 /// system has given up on it (then with Retry-After). DELETE
 /// /v1/jobs/ORGANISATION/ID cancels a job; the caller that submitted it is
 /// notified by its answer. GET /v1/stats returns the entry's counters; GET
-/// /healthz tells whether the entry accepts work.
+/// /healthz returns 200 as long as the process answers calls.
 class CallerApi {
 public:
   using Submit = std::function<core::JobAnswer(const core::JobRequest &)>;
--- a/src/libs/core/jobspec.h
+++ b/src/libs/core/jobspec.h
@@ -127,7 +127,8 @@
 
 /// Returns a summary of spec that fits on one log line. It lists for each step
 /// the number of tasks, the resources of a task (thousandths of a core, MB,
-/// accelerators), the estimate, and the placement constraints.
+/// accelerators), the estimate, and the properties and limits that restrict how
+/// and where the tasks run.
 std::string summary(const JobSpec &spec);
 
 /// Identifies one task of a job.
--- a/src/libs/eventlog/timeline.cpp
+++ b/src/libs/eventlog/timeline.cpp
@@ -124,6 +124,9 @@
 /// several calls a second, and their failures contain the same information.
 class OutageFilter {
 public:
+  /// Returns whether e is a failed store call in an outage of which a failed
+  /// call of the same process was already passed. Expects events in the order
+  /// of time.
   bool checkRepetition(const LoggedEvent &e) {
     const std::string name = textIn(e.Fields, "name");
     const std::string process = textIn(e.Fields, "proc");
--- a/src/libs/eventlog/timeline.h
+++ b/src/libs/eventlog/timeline.h
@@ -48,10 +48,10 @@
 std::vector<LoggedEvent> select(const std::vector<LoggedEvent> &events,
                                 const EventFilter &filter);
 
-/// Returns all events that concern one job: its own events, those of the
-/// workers that it was placed on, and those of the leader and the store between
-/// its first and its last event. Of the failed store calls in one outage it
-/// includes one for each process.
+/// Returns all events that concern one job: its own events and, between its
+/// first and its last one, those of the workers that it was placed on, of the
+/// leader, of the store and of the event log itself. Of the failed store calls
+/// in one outage it includes one for each process.
 std::vector<LoggedEvent> storyOf(const std::string &job,
                                  const std::vector<LoggedEvent> &events);
 
--- a/src/libs/http/asyncserver.h
+++ b/src/libs/http/asyncserver.h
@@ -15,8 +15,8 @@
   /// Zero picks a free port.
   int Port = 0;
   int MaxConnections = 1024;
-  /// Maximum size of a request's body. Larger ones are answered with 413 and
-  /// are not stored.
+  /// Maximum size of a request's body. Larger ones are answered with 413,
+  /// and the data beyond the limit is discarded.
   size_t MaxBodyBytes = 1 << 20;
   /// Names of the request headers that are stored in HttpRequest::Headers.
   std::vector<std::string> KeptHeaders;
--- a/src/libs/losses/attribution.h
+++ b/src/libs/losses/attribution.h
@@ -18,7 +18,7 @@
   /// Waiting for capacity that other work occupied, without any work being
   /// stopped for the job.
   WaitingForRoom,
-  /// Waiting until other work that was stopped for the job had ended.
+  /// Waiting while other work was being stopped for the job.
   WaitingForStops,
   /// Waiting of a gang that needs one rack.
   WaitingForRack,
@@ -40,7 +40,7 @@
   RunStopped,
   RunEvacuated,
   RunBroken,
-  /// From the end of the last run to the answer that returned it.
+  /// From the end of the job to the first answer that returned it.
   Showing,
 };
 
@@ -68,8 +68,8 @@
 
 /// Returns the time after its first call by which the job was due, based on the
 /// durations of its tasks on healthy workers: a run that took several times as
-/// long as comparable runs counts with their duration. Runs that failed by
-/// their own fault count as work.
+/// long as comparable runs counts as one of these. Runs that failed by their
+/// own fault count as work.
 absl::Duration dueAfter(const JobHistory &job, const SiteHistory &site);
 
 /// Outcome of a job. NotAllowed: the queue or key did not exist, or the job
@@ -101,7 +101,8 @@
   absl::Duration lateness() const {
     return std::max(Took - Due, absl::ZeroDuration());
   }
-  /// Returns the cause of most of the time other than the work itself.
+  /// Returns the cause with the largest part of the time other than the work
+  /// itself.
   Cause mainCause() const;
   bool operator==(const Account &) const = default;
 };
--- a/src/libs/losses/lossreport.h
+++ b/src/libs/losses/lossreport.h
@@ -33,7 +33,8 @@
   /// By the time of submission of the jobs, in seconds since the first line of
   /// the logs, in steps of WindowSeconds.
   std::map<int64_t, Group> ByWindow;
-  /// Jobs that did not meet their deadline, in the order of their first call.
+  /// Jobs whose callers were entitled to a result and did not get it in time,
+  /// in the order of their first call.
   std::vector<Account> Lost;
   /// Core-seconds of discarded work by the reason why the runs ended.
   std::map<std::string, double> WasteBy;
--- a/src/libs/metrics/processmetrics.h
+++ b/src/libs/metrics/processmetrics.h
@@ -31,7 +31,7 @@
   /// Records that a job ended, and the time between its acceptance and its end.
   void jobEnded(const std::string &state, int priority,
                 absl::Duration duration);
-  /// Counts an order whose outcome an agent knows.
+  /// Counts an order when its outcome is known to the agent.
   void orderConcluded(const std::string &outcome);
 
   void set(const std::string &gauge, const std::string &help, double value);
--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -62,13 +62,15 @@
     return Current;
   }
   /// Returns the revision and version of the configuration in force; zeros
-  /// before the first one was read.
+  /// before the first one was read. After a newer value was refused, the
+  /// revision is that of the refused value.
   core::ConfigStamp stamp() const {
     return {Revision, Current != nullptr ? Current->Version : 0};
   }
-  /// Called when another entry is known to use the configuration newer. From
-  /// then on no call may be served with an older one here; the store is asked
-  /// for the newest one.
+  /// Must be called when another entry is known to use the configuration that
+  /// newer identifies. If it is newer than the one in force here, no call may
+  /// be served with the latter any more, and the store is asked for the newest
+  /// one.
   void heardOf(const core::ConfigStamp &newer);
   /// Returns whether a newer configuration than the one in force here is known
   /// to exist.
@@ -78,8 +80,9 @@
   int64_t newestRevision() const {
     return std::max(Revision, NewestKnownRevision);
   }
-  /// Returns the transaction condition that holds as long as the configuration
-  /// in force is the newest one in the store.
+  /// Returns the condition for transactions that depend on the configuration
+  /// in force. It holds as long as the key's revision in the store is the one
+  /// that stamp() returns.
   platform::StoreCondition condition() const { return {Source.Key, Revision}; }
   /// Returns the age of the view: the time since the sending of the last call
   /// whose answer showed that the configuration in force is the newest one.
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -22,7 +22,7 @@
 struct SiteBounds {
   /// Maximum time ahead for which a worker accepts a keep-alive of its tasks.
   int HoldMaxMs = 6000;
-  /// Maximum duration of a stop of a task.
+  /// Maximum time that it takes to stop a task.
   int StopGraceMs = 900;
   /// Maximum time for which the members of a gang wait for each other.
   int GangWaitMs = 3000;
@@ -67,7 +67,7 @@
   int StoreMinLeaseMs = 1000;
   HostPort Advice;
   int HeartbeatMs = 1500;
-  /// Share of a core that the host gives to this process.
+  /// Number of cores, such as 0.25, that the host gives to this process.
   double ProcessorShare = 1;
   SiteBounds Bounds;
   bool operator==(const NodeSettings &) const = default;
@@ -102,7 +102,7 @@
   /// Maximum age of a view of the configuration. Calls are not served with
   /// older views.
   absl::Duration OldestConfig;
-  /// Age of the view from which a process reports itself as not ready.
+  /// Maximum age of the view with which a process reports itself as ready.
   absl::Duration NotReadyAfter;
   /// Time after which capacity is freed for work within its organisation's
   /// guarantee, however much work that discards. The stop itself, the writes to
