--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -149,10 +149,10 @@
                                 {"organisation", job.Organisation},
                                 {"shape", job.GangShape},
                                 {"class", job.Class}});
-  JobAnswer answer = core::notRun(
-      job.Id, NotRunReason::ShuttingDown,
-      "this entry is stopping; another entry will serve the request",
-      Settings.RetryAfterMs);
+  JobAnswer answer =
+      core::notRun(job.Id, NotRunReason::ShuttingDown,
+                   "this entry is stopping; another entry will serve",
+                   Settings.RetryAfterMs);
   if (!Draining)
     answer = Callers->submit(job);
   if (answer.Result == Outcome::NotRun) {
@@ -356,10 +356,9 @@
     return;
   RunsBeingRecorded.erase(start.Run);
   Scheduler->onStartAborted(
-      start.Run,
-      core::notRun(start.Request.Job.Id, NotRunReason::Overloaded,
-                   "too many starts are waiting to be written to the store",
-                   Settings.RetryAfterMs));
+      start.Run, core::notRun(start.Request.Job.Id, NotRunReason::Overloaded,
+                              "too many starts wait for the store",
+                              Settings.RetryAfterMs));
   performActions();
 }
 
@@ -401,7 +400,7 @@
                          Outcome::InProgress,
                          NotRunReason::None,
                          "an earlier attempt with this idempotency key has not "
-                         "ended; retry the request to get its answer",
+                         "ended; ask again for its answer",
                          Settings.RetryAfterMs,
                          {}});
     // The leader knows all runs. A holder that it does not know was answered
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -162,7 +162,7 @@
   else if (Config->current() == nullptr)
     reason = "no configuration yet";
   else if (Config->age(Loop.now()) > Time.NotReadyAfter)
-    reason = "the store has not confirmed the configuration for too long";
+    reason = "the configuration has not been confirmed for too long";
   else if (!View->complete())
     reason = "the jobs have not been read yet";
   if (reason != nullptr && why != nullptr)
@@ -453,8 +453,7 @@
   }
   if (const auto *stepDown = std::get_if<endpoints::StandDown>(&message))
     return onStepDownRequest(*stepDown);
-  return endpoints::Ack{false,
-                        "this entry does not handle messages of this type"};
+  return endpoints::Ack{false, "this entry does not take that message"};
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/placement/admission.cpp
+++ b/src/libs/placement/admission.cpp
@@ -30,9 +30,8 @@
     if (now - lost.second < LostWorkerRetention)
       count(lost.first);
   if (siteMembers < shape.Members)
-    return Refusal{
-        NotRunReason::CanNeverFit,
-        "the site has too little capacity for this gang even when empty", 0};
+    return Refusal{NotRunReason::CanNeverFit,
+                   "the site has no room for this gang even when empty", 0};
   if (shape.powerWatts() > powerCapWatts())
     return Refusal{NotRunReason::CanNeverFit,
                    "the gang alone draws more than the site's power cap", 0};
@@ -44,12 +43,11 @@
   if (!job.Idempotent &&
       shape.accelerators() >
           ownGuarantee + std::max(0, siteAccelerators - guaranteedTotal))
-    return Refusal{
-        NotRunReason::CanNeverFit,
-        "a non-idempotent gang cannot borrow guaranteed capacity, and "
-        "this one is larger than the organisation's guarantee plus "
-        "the capacity that is guaranteed to nobody",
-        0};
+    return Refusal{NotRunReason::CanNeverFit,
+                   "a non-idempotent gang cannot borrow guaranteed room, and "
+                   "this one is larger than the organisation's guarantee plus "
+                   "the room nobody is guaranteed",
+                   0};
   return std::nullopt;
 }
 
@@ -345,15 +343,14 @@
 
   if (!unrestricted)
     return Refusal{NotRunReason::NoCapacity,
-                   "not enough free capacity for the whole gang at present",
-                   RetryAfterMs};
+                   "no room for the whole gang at present", RetryAfterMs};
   if (!powerFits)
     return Refusal{NotRunReason::PowerCap,
-                   "running work leaves too little power below the cap",
+                   "running work leaves too little of the power cap",
                    RetryAfterMs};
   return Refusal{NotRunReason::OverGuarantee,
-                 "the free capacity is guaranteed to other organisations, and "
-                 "a non-idempotent gang cannot be stopped to return it",
+                 "the free room is kept for other organisations' guarantees "
+                 "and a non-idempotent gang cannot be stopped to give it back",
                  RetryAfterMs};
 }
 
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -84,11 +84,10 @@
                                });
   PendingGang gang = std::move(*last);
   Pending.erase(last);
-  refusePending(
-      gang,
-      {NotRunReason::Overloaded,
-       "the queue is full and this organisation has the most waiting jobs",
-       Limits.RetryAfterMs});
+  refusePending(gang,
+                {NotRunReason::Overloaded,
+                 "the queue is full and this organisation has the most waiting",
+                 Limits.RetryAfterMs});
 }
 
 void GangScheduler::cancel(const std::string &organisation,
@@ -101,14 +100,14 @@
       Pending.begin(), Pending.end(),
       [&](const PendingGang &gang) { return !matches(gang); });
   for (auto it = firstCancelled; it != Pending.end(); ++it)
-    refusePending(*it, {NotRunReason::Cancelled, "cancelled by the caller", 0});
+    refusePending(*it, {NotRunReason::Cancelled, "cancelled by its caller", 0});
   Pending.erase(firstCancelled, Pending.end());
   std::vector<RunId> cancelledRuns;
   for (const auto &[run, r] : Runs)
     if (matches(r.Gang))
       cancelledRuns.push_back(run);
   for (const RunId &run : cancelledRuns)
-    beginStop(run, StopCause::Cancelled, "cancelled by the caller", now);
+    beginStop(run, StopCause::Cancelled, "cancelled by its caller", now);
 }
 
 void GangScheduler::onProfile(const core::Profile &profile) {
@@ -435,8 +434,7 @@
     resendStops(now);
   }
   for (const RunId &run : State.shedForPower())
-    beginStop(run, StopCause::Power, "stopped to stay below the power cap",
-              now);
+    beginStop(run, StopCause::Power, "stopped to keep the power cap", now);
   if (PlacementDue ||
       (!Pending.empty() && now - LastPlacement >= PlacementPeriod))
     placePending(now);
@@ -444,7 +442,7 @@
 
 void GangScheduler::checkWorkers(absl::Time now) {
   for (const RunId &run : State.findUnresponsive(now, Limits.HeartbeatTimeout))
-    beginStop(run, StopCause::WorkerLost, "a worker is unresponsive", now);
+    beginStop(run, StopCause::WorkerLost, "a worker went silent", now);
   handleExpiredRuns(State.expireWorkers(now, Limits.TaskLease), now);
   std::vector<std::pair<RunId, std::string>> orphans;
   for (const auto &[run, r] : Runs)
@@ -542,7 +540,7 @@
     if (refusal->Reason == NotRunReason::CanNeverFit &&
         now < AnnouncementDeadline)
       return placement::Refusal{NotRunReason::NoCapacity,
-                                "not all workers have announced themselves yet",
+                                "workers are still announcing themselves",
                                 Limits.RetryAfterMs};
     return *refusal;
   }
@@ -559,8 +557,7 @@
   }
   for (const RunId &victim : alloc.WaitsFor)
     beginStop(victim, StopCause::Reclaimed,
-              "its accelerators were reclaimed for " + alloc.Job.Organisation,
-              now);
+              "its room was reclaimed for " + alloc.Job.Organisation, now);
   return std::nullopt;
 }
 
