--- a/src/libs/entry/callforwarder.h
+++ b/src/libs/entry/callforwarder.h
@@ -39,8 +39,8 @@
   CallForwarder(const CallForwarder &) = delete;
   CallForwarder &operator=(const CallForwarder &) = delete;
 
-  /// Forwards a call. Returns false, without calling onAnswer, if there is no
-  /// entry to forward it to.
+  /// Forwards a call. Returns false, without calling onAnswer, if no other
+  /// entry is known or none of them has answered lately.
   bool forward(const endpoints::ForwardedCall &call, OnAnswer onAnswer);
 
 private:
--- a/src/libs/entry/predecessors.h
+++ b/src/libs/entry/predecessors.h
@@ -49,7 +49,7 @@
   };
   /// This leader is registered in the list and can begin.
   using OnRegistered = std::function<void()>;
-  /// No previous leader keeps tasks alive any more since the given time.
+  /// From the given time on, no previous leader keeps any task alive.
   using OnAllGone = std::function<void(absl::Time)>;
 
   Predecessors(utils::EventLoop &loop, const platform::Store &store,
--- a/src/libs/entry/recorder.cpp
+++ b/src/libs/entry/recorder.cpp
@@ -118,8 +118,9 @@
 
 // Determines why a conditional write was refused: another entry leads, another
 // gang holds the idempotency key, or an earlier write of this run took effect
-// although its reply was lost. Sets canRetry if the write can be retried, on
-// condition of the given revision of the idempotency key.
+// although its reply was lost. Sets canRetry if the write can be retried, and
+// then keyRevision to the revision of the idempotency key that the retry must
+// expect.
 RecordOutcome
 Recorder::explainConflict(const RecordStart &request,
                           const std::vector<KeyValue> &currentItems,
--- a/src/libs/entry/recorder.h
+++ b/src/libs/entry/recorder.h
@@ -91,7 +91,7 @@
   const OnStoreError ReportError;
   utils::BoundedQueue<Request> Requests;
   std::deque<RecordEnd> PendingEnds;
-  /// No call to the store is made before this time, after one failed.
+  /// After a failed write no other is attempted before this time.
   absl::Time StoreDownUntil = absl::InfinitePast();
   absl::Notification StopRequested;
   std::thread Thread;
--- a/src/libs/entry/submitter.cpp
+++ b/src/libs/entry/submitter.cpp
@@ -67,20 +67,21 @@
 Submitter::sendToLeader(const endpoints::Message &message,
                         const platform::Leadership &leader) {
   if (leader.Mine)
-    return SendToOwnScheduler(message) ? Delivery::Accepted : Delivery::Refused;
+    return SendToOwnScheduler(message) ? Delivery::Accepted
+                                       : Delivery::NotAccepted;
   std::shared_ptr<endpoints::RequestChannel> channel;
   {
     absl::MutexLock lock(&Mu);
     channel = LeaderChannel;
   }
   if (channel == nullptr)
-    return Delivery::Refused;
+    return Delivery::NotAccepted;
   auto reply =
       endpoints::RequestChannel::call(channel, message, LeaderCallTimeoutMs);
   if (!reply)
     return Delivery::Unknown;
   const auto *ack = std::get_if<endpoints::Ack>(&*reply);
-  return ack != nullptr && ack->Ok ? Delivery::Accepted : Delivery::Refused;
+  return ack != nullptr && ack->Ok ? Delivery::Accepted : Delivery::NotAccepted;
 }
 
 JobAnswer Submitter::submit(const core::JobRequest &job) {
@@ -100,7 +101,7 @@
       const Delivery delivery =
           sendToLeader(endpoints::Submit{id, job, ReplyTo}, leader);
       Mu.Lock();
-      possiblyAccepted = possiblyAccepted || delivery != Delivery::Refused;
+      possiblyAccepted = possiblyAccepted || delivery != Delivery::NotAccepted;
       if (delivery == Delivery::Accepted)
         acceptedEpoch = leader.Epoch;
     }
--- a/src/libs/entry/submitter.h
+++ b/src/libs/entry/submitter.h
@@ -31,8 +31,8 @@
             LocalSender localSender);
 
   /// Blocks the caller's thread until its gang has been answered. If no leader
-  /// can have accepted the gang within noLeaderTimeout, it is answered "not
-  /// run".
+  /// can have accepted the gang by the end of noLeaderTimeout, it is answered
+  /// "not run".
   core::JobAnswer submit(const core::JobRequest &job);
   /// Passes a cancellation to the leader. Returns false if it was not accepted.
   bool cancel(const endpoints::Cancel &cancel);
@@ -52,7 +52,9 @@
     bool Answered = false;
     core::JobAnswer Answer;
   };
-  enum class Delivery { Accepted, Refused, Unknown };
+  /// NotAccepted: the leader refused the message, or there was no leader to
+  /// send it to. Unknown: the leader did not answer and may have accepted it.
+  enum class Delivery { Accepted, NotAccepted, Unknown };
 
   Delivery sendToLeader(const endpoints::Message &message,
                         const platform::Leadership &leader);
--- a/src/libs/placement/admission.cpp
+++ b/src/libs/placement/admission.cpp
@@ -183,12 +183,13 @@
                            const std::vector<FreeWorker> &available,
                            const std::set<RunId> &excludedRuns) const {
   for (bool canMoveSlots : {true, false}) {
-    const auto slotCapacity = capacityInSlots(job, excludedRuns, canMoveSlots);
+    const auto freeInSlots =
+        freeCapacityInSlots(job, excludedRuns, canMoveSlots);
     std::vector<FreeWorker> availableInSlots = available;
     for (FreeWorker &w : availableInSlots) {
-      auto it = slotCapacity.find(w.Id);
+      auto it = freeInSlots.find(w.Id);
       w.FreeAccelerators = std::min(w.FreeAccelerators,
-                                    it == slotCapacity.end() ? 0 : it->second);
+                                    it == freeInSlots.end() ? 0 : it->second);
     }
     auto workers = Place(availableInSlots, job.GangShape);
     // If slots can move, the plan is checked. The slots of runs that are yet to
@@ -216,9 +217,9 @@
     if (gang.Stopping)
       stoppingRuns.insert(run);
   std::optional<Assignment> assignment;
-  // Preempt more and more of the candidates until the whole gang fits. Doubling
-  // keeps the number of placement attempts logarithmic in the number of
-  // candidates.
+  // Plan without more and more of the candidates until the whole gang fits.
+  // Doubling their number keeps the number of placement attempts logarithmic in
+  // the number of candidates.
   for (size_t n = 0;; n = n == 0 ? 1 : n * 2) {
     std::set<RunId> excludedRuns = ownVictims;
     excludedRuns.insert(stoppingRuns.begin(), stoppingRuns.end());
@@ -366,8 +367,8 @@
     if (gang.WaitsFor.empty() && !gang.Stopping)
       stopOrder.push_back(&gang);
   // Stop idempotent gangs before those that cannot be started again, then gangs
-  // that borrow before non-preemptible ones, then batch before urgent, and then
-  // the latest started first.
+  // that borrow before those in slots or shared capacity, then batch before
+  // urgent, and then the latest started first.
   auto rank = [](const Allocation *g) {
     return (g->Job.Idempotent ? 0 : 4) + (g->firm() ? 2 : 0) +
            (g->Job.Class == JobClass::Urgent ? 1 : 0);
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -245,7 +245,7 @@
 }
 
 // Whether new work can be placed on the worker. After a quarantine the first
-// gang on it is a probe: it must be idempotent (mayProbe) and the worker
+// gang on it is a probe: it must be idempotent (canProbe) and the worker
 // otherwise unused.
 bool ClusterState::isAvailable(const Worker &worker, absl::Time now,
                                bool canProbe) const {
--- a/src/libs/placement/clusterstate.h
+++ b/src/libs/placement/clusterstate.h
@@ -42,16 +42,19 @@
   /// overdraw, and the power measured, in watts.
   int64_t ExpectedWatts = 0;
   int64_t MeasuredWatts = 0;
-  /// Ascending in the order of admission.
+  /// Ascending in the order of admission or adoption.
   int64_t Order = 0;
 
-  /// Values of Slots that are no slot ids. A gang that borrows is stopped when
-  /// the organisation that is guaranteed the capacity claims it. A gang in
-  /// shared capacity, which is guaranteed to nobody, or in its organisation's
-  /// slots is not stopped for that.
+  /// Special values in Slots, which are not slot ids. A gang that borrows is
+  /// stopped when the organisation that is guaranteed the capacity claims it. A
+  /// gang in shared capacity, which is guaranteed to nobody, or in its
+  /// organisation's slots is not stopped for another organisation. Idempotent
+  /// batch work in slots can be stopped for an urgent gang of the same
+  /// organisation.
   static constexpr int64_t Borrowed = 0;
   static constexpr int64_t SharedRoom = -1;
-  /// Whether the gang cannot be preempted when a guarantee is claimed.
+  /// Whether the gang does not borrow, so that it cannot be preempted for
+  /// another organisation's guarantee.
   bool firm() const {
     return std::any_of(Slots.begin(), Slots.end(),
                        [](int64_t s) { return s != Borrowed; });
@@ -72,8 +75,9 @@
 };
 
 /// Number of consecutive task failures after which a worker is quarantined, and
-/// the duration of its first quarantine. The duration doubles with each further
-/// failure, up to the maximum.
+/// the duration of its first quarantine. The failures are normally of different
+/// gangs, because a gang avoids a worker that failed it. The duration doubles
+/// with each further failure, up to the maximum.
 struct QuarantinePolicy {
   int FailuresInARow = 3;
   absl::Duration InitialDuration = absl::Seconds(2);
@@ -83,9 +87,9 @@
 /// The state of the site from one scheduler's view: the workers, the gangs on
 /// them, the use by each organisation, and the power committed. Owned by one
 /// thread; not thread-safe. It keeps the rules of docs/PLACEMENT.md: a gang is
-/// placed as a whole; the charged power of all gangs stays below the cap; and
-/// each guaranteed member has a slot on one worker, which is used only by its
-/// organisation's own gangs and by gangs that borrow.
+/// placed as a whole; the charged power of all gangs does not exceed the cap;
+/// and each guaranteed member has a slot on one worker, which is used only by
+/// its organisation's own gangs and by gangs that borrow.
 class ClusterState {
 public:
   ClusterState(Placer placer, int64_t retryAfterMs,
@@ -184,10 +188,10 @@
     absl::Time QuarantinedUntil = absl::InfinitePast();
     absl::Duration QuarantineDuration = absl::ZeroDuration();
   };
-  /// The name of a profile and of an organisation that has guarantees in it.
+  /// The names of a profile and of an organisation that uses it.
   using OrganisationKey = std::pair<std::string, std::string>;
   /// Capacity for one guaranteed member: Width accelerators on one worker, of
-  /// which the organisation's non-preemptible gangs use some. WorkerId is empty
+  /// which the organisation's gangs in this slot use some. WorkerId is empty
   /// while no worker has enough free capacity.
   struct Slot {
     OrganisationKey Owner;
@@ -230,8 +234,9 @@
   void releaseSlots(Allocation &gang);
   void assignFreeSlots(const OrganisationKey &organisation);
   absl::flat_hash_map<std::string, int>
-  capacityInSlots(const core::JobRequest &job,
-                  const std::set<RunId> &excludedRuns, bool canMoveSlots) const;
+  freeCapacityInSlots(const core::JobRequest &job,
+                      const std::set<RunId> &excludedRuns,
+                      bool canMoveSlots) const;
   bool isAvailable(const Worker &worker, absl::Time now, bool canProbe) const;
   std::vector<FreeWorker>
   availableWorkers(absl::Time now, bool canProbe,
--- a/src/libs/placement/reserve.cpp
+++ b/src/libs/placement/reserve.cpp
@@ -326,13 +326,13 @@
 // have ended, and, if slots can move, the unreserved capacity to which unused
 // slots could move.
 absl::flat_hash_map<std::string, int>
-ClusterState::capacityInSlots(const core::JobRequest &job,
-                              const std::set<RunId> &excludedRuns,
-                              bool canMoveSlots) const {
-  absl::flat_hash_map<std::string, int> capacity;
+ClusterState::freeCapacityInSlots(const core::JobRequest &job,
+                                  const std::set<RunId> &excludedRuns,
+                                  bool canMoveSlots) const {
+  absl::flat_hash_map<std::string, int> freeCapacity;
   auto ownSlots = SlotsByOrganisation.find(organisationOf(job));
   if (ownSlots == SlotsByOrganisation.end())
-    return capacity;
+    return freeCapacity;
   absl::flat_hash_map<int64_t, int> freed;
   for (const RunId &run : excludedRuns)
     if (const Allocation *gang = allocation(run))
@@ -346,13 +346,13 @@
     const int freeWidth = slot.Width - slot.Used + freed[id];
     // Only whole members fit in a slot: two half-free slots cannot hold one
     // member of full width.
-    capacity[slot.WorkerId] += freeWidth / width * width;
+    freeCapacity[slot.WorkerId] += freeWidth / width * width;
     if (freeWidth == slot.Width && slot.Width >= width) {
       ++movableSlots;
       movableWidth = std::max(movableWidth, slot.Width);
     }
   }
-  capacity.erase("");
+  freeCapacity.erase("");
   if (canMoveSlots && movableSlots > 0)
     for (const auto &[id, w] : Workers) {
       int placeableSlots = std::max(0, w.unreserved()) / movableWidth;
@@ -362,9 +362,9 @@
             Slots.at(otherSlot).Width == movableWidth)
           ++placeableSlots;
       placeableSlots = std::min(placeableSlots, movableSlots);
-      capacity[id] += placeableSlots * (movableWidth / width * width);
+      freeCapacity[id] += placeableSlots * (movableWidth / width * width);
     }
-  return capacity;
+  return freeCapacity;
 }
 
 } // namespace oriolebay::placement
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -130,9 +130,10 @@
   }
 }
 
-// Stops tasks of unknown runs: their worker was partitioned and given up as
-// lost, or their start was never confirmed. They would use accelerators and
-// power for nothing.
+// Stops tasks of runs that this scheduler does not have any more, so that no
+// caller waits for them: their worker was partitioned and given up as lost, or
+// their start was never confirmed. They would use accelerators and power for
+// nothing.
 void GangScheduler::stopUnknownTasks(const endpoints::Announce &announce) {
   for (const endpoints::TaskStatus &task : announce.Tasks)
     if (Runs.count(task.Run) == 0)
@@ -385,8 +386,8 @@
         run.Cause == StopCause::WorkerLost)
       ++gang.Attempt;
   }
-  // The limit on the waiting time starts again, since the time for which the
-  // gang ran is not waiting time.
+  // The waiting time starts again at zero, since the time for which the gang
+  // ran is not waiting time.
   gang.WaitingSince = now;
   gang.DrainedWorkers.clear();
   Actions.push_back(Note{Note::Kind::Requeued, gang.Request.GangId, why});
@@ -421,8 +422,8 @@
   Runs[adopted.Run] = std::move(r);
 }
 
-void GangScheduler::handleExpiredRuns(const std::vector<RunId> &runs,
-                                      absl::Time now) {
+void GangScheduler::handleExpiredMembers(const std::vector<RunId> &runs,
+                                         absl::Time now) {
   for (const RunId &run : runs)
     handleLostMembers(run, "", now);
 }
@@ -443,7 +444,7 @@
 void GangScheduler::checkWorkers(absl::Time now) {
   for (const RunId &run : State.findUnresponsive(now, Limits.HeartbeatTimeout))
     beginStop(run, StopCause::WorkerLost, "a worker went silent", now);
-  handleExpiredRuns(State.expireWorkers(now, Limits.TaskLease), now);
+  handleExpiredMembers(State.expireWorkers(now, Limits.TaskLease), now);
   std::vector<std::pair<RunId, std::string>> orphans;
   for (const auto &[run, r] : Runs)
     if (r.AdoptionDeadline < now)
--- a/src/libs/scheduler/gangscheduler.h
+++ b/src/libs/scheduler/gangscheduler.h
@@ -198,7 +198,7 @@
   void handleLostMembers(const RunId &run, const std::string &worker,
                          absl::Time now);
   void sendStop(const RunId &run, RunState &state, absl::Time now);
-  void handleExpiredRuns(const std::vector<RunId> &runs, absl::Time now);
+  void handleExpiredMembers(const std::vector<RunId> &runs, absl::Time now);
   void finishRun(const RunId &run, absl::Time now);
   void requeue(RunState run, absl::Time now, const std::string &why);
   bool willRetry(const RunState &run) const;
