--- a/src/libs/placement/admission.cpp
+++ b/src/libs/placement/admission.cpp
@@ -30,9 +30,8 @@
     if (now - lost.second < LostWorkerRetention)
       count(lost.first);
   if (siteMembers < shape.Members)
-    return Refusal{
-        NotRunReason::CanNeverFit,
-        "the site has too little capacity for this gang even when empty", 0};
+    return Refusal{NotRunReason::CanNeverFit,
+                   "the site has no room for this gang even when empty", 0};
   if (shape.powerWatts() > powerCapWatts())
     return Refusal{NotRunReason::CanNeverFit,
                    "the gang alone draws more than the site's power cap", 0};
@@ -44,12 +43,11 @@
   if (!job.Idempotent &&
       shape.accelerators() >
           ownGuarantee + std::max(0, siteAccelerators - guaranteedTotal))
-    return Refusal{
-        NotRunReason::CanNeverFit,
-        "a non-idempotent gang cannot borrow guaranteed capacity, and "
-        "this one is larger than the organisation's guarantee plus "
-        "the capacity that is guaranteed to nobody",
-        0};
+    return Refusal{NotRunReason::CanNeverFit,
+                   "a non-idempotent gang cannot borrow guaranteed room, and "
+                   "this one is larger than the organisation's guarantee plus "
+                   "the room nobody is guaranteed",
+                   0};
   return std::nullopt;
 }
 
@@ -185,12 +183,13 @@
                            const std::vector<FreeWorker> &available,
                            const std::set<RunId> &excludedRuns) const {
   for (bool canMoveSlots : {true, false}) {
-    const auto slotCapacity = capacityInSlots(job, excludedRuns, canMoveSlots);
+    const auto freeInSlots =
+        freeCapacityInSlots(job, excludedRuns, canMoveSlots);
     std::vector<FreeWorker> availableInSlots = available;
     for (FreeWorker &w : availableInSlots) {
-      auto it = slotCapacity.find(w.Id);
+      auto it = freeInSlots.find(w.Id);
       w.FreeAccelerators = std::min(w.FreeAccelerators,
-                                    it == slotCapacity.end() ? 0 : it->second);
+                                    it == freeInSlots.end() ? 0 : it->second);
     }
     auto workers = Place(availableInSlots, job.GangShape);
     // If slots can move, the plan is checked. The slots of runs that are yet to
@@ -218,9 +217,9 @@
     if (gang.Stopping)
       stoppingRuns.insert(run);
   std::optional<Assignment> assignment;
-  // Preempt more and more of the candidates until the whole gang fits. Doubling
-  // keeps the number of placement attempts logarithmic in the number of
-  // candidates.
+  // Plan without more and more of the candidates until the whole gang fits.
+  // Doubling their number keeps the number of placement attempts logarithmic in
+  // the number of candidates.
   for (size_t n = 0;; n = n == 0 ? 1 : n * 2) {
     std::set<RunId> excludedRuns = ownVictims;
     excludedRuns.insert(stoppingRuns.begin(), stoppingRuns.end());
@@ -345,15 +344,14 @@
 
   if (!unrestricted)
     return Refusal{NotRunReason::NoCapacity,
-                   "not enough free capacity for the whole gang at present",
-                   RetryAfterMs};
+                   "no room for the whole gang at present", RetryAfterMs};
   if (!powerFits)
     return Refusal{NotRunReason::PowerCap,
-                   "running work leaves too little power below the cap",
+                   "running work leaves too little of the power cap",
                    RetryAfterMs};
   return Refusal{NotRunReason::OverGuarantee,
-                 "the free capacity is guaranteed to other organisations, and "
-                 "a non-idempotent gang cannot be stopped to return it",
+                 "the free room is kept for other organisations' guarantees "
+                 "and a non-idempotent gang cannot be stopped to give it back",
                  RetryAfterMs};
 }
 
@@ -369,8 +367,8 @@
     if (gang.WaitsFor.empty() && !gang.Stopping)
       stopOrder.push_back(&gang);
   // Stop idempotent gangs before those that cannot be started again, then gangs
-  // that borrow before non-preemptible ones, then batch before urgent, and then
-  // the latest started first.
+  // that borrow before those in slots or shared capacity, then batch before
+  // urgent, and then the latest started first.
   auto rank = [](const Allocation *g) {
     return (g->Job.Idempotent ? 0 : 4) + (g->firm() ? 2 : 0) +
            (g->Job.Class == JobClass::Urgent ? 1 : 0);
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -84,11 +84,10 @@
                                });
   PendingGang gang = std::move(*last);
   Pending.erase(last);
-  refusePending(
-      gang,
-      {NotRunReason::Overloaded,
-       "the queue is full and this organisation has the most waiting jobs",
-       Limits.RetryAfterMs});
+  refusePending(gang,
+                {NotRunReason::Overloaded,
+                 "the queue is full and this organisation has the most waiting",
+                 Limits.RetryAfterMs});
 }
 
 void GangScheduler::cancel(const std::string &organisation,
@@ -101,14 +100,14 @@
       Pending.begin(), Pending.end(),
       [&](const PendingGang &gang) { return !matches(gang); });
   for (auto it = firstCancelled; it != Pending.end(); ++it)
-    refusePending(*it, {NotRunReason::Cancelled, "cancelled by the caller", 0});
+    refusePending(*it, {NotRunReason::Cancelled, "cancelled by its caller", 0});
   Pending.erase(firstCancelled, Pending.end());
   std::vector<RunId> cancelledRuns;
   for (const auto &[run, r] : Runs)
     if (matches(r.Gang))
       cancelledRuns.push_back(run);
   for (const RunId &run : cancelledRuns)
-    beginStop(run, StopCause::Cancelled, "cancelled by the caller", now);
+    beginStop(run, StopCause::Cancelled, "cancelled by its caller", now);
 }
 
 void GangScheduler::onProfile(const core::Profile &profile) {
@@ -131,9 +130,10 @@
   }
 }
 
-// Stops tasks of unknown runs: their worker was partitioned and given up as
-// lost, or their start was never confirmed. They would use accelerators and
-// power for nothing.
+// Stops tasks of runs that this scheduler does not have any more, so that no
+// caller waits for them: their worker was partitioned and given up as lost, or
+// their start was never confirmed. They would use accelerators and power for
+// nothing.
 void GangScheduler::stopUnknownTasks(const endpoints::Announce &announce) {
   for (const endpoints::TaskStatus &task : announce.Tasks)
     if (Runs.count(task.Run) == 0)
@@ -386,8 +386,8 @@
         run.Cause == StopCause::WorkerLost)
       ++gang.Attempt;
   }
-  // The limit on the waiting time starts again, since the time for which the
-  // gang ran is not waiting time.
+  // The waiting time starts again at zero, since the time for which the gang
+  // ran is not waiting time.
   gang.WaitingSince = now;
   gang.DrainedWorkers.clear();
   Actions.push_back(Note{Note::Kind::Requeued, gang.Request.GangId, why});
@@ -422,8 +422,8 @@
   Runs[adopted.Run] = std::move(r);
 }
 
-void GangScheduler::handleExpiredRuns(const std::vector<RunId> &runs,
-                                      absl::Time now) {
+void GangScheduler::handleExpiredMembers(const std::vector<RunId> &runs,
+                                         absl::Time now) {
   for (const RunId &run : runs)
     handleLostMembers(run, "", now);
 }
@@ -435,8 +435,7 @@
     resendStops(now);
   }
   for (const RunId &run : State.shedForPower())
-    beginStop(run, StopCause::Power, "stopped to stay below the power cap",
-              now);
+    beginStop(run, StopCause::Power, "stopped to keep the power cap", now);
   if (PlacementDue ||
       (!Pending.empty() && now - LastPlacement >= PlacementPeriod))
     placePending(now);
@@ -444,8 +443,8 @@
 
 void GangScheduler::checkWorkers(absl::Time now) {
   for (const RunId &run : State.findUnresponsive(now, Limits.HeartbeatTimeout))
-    beginStop(run, StopCause::WorkerLost, "a worker is unresponsive", now);
-  handleExpiredRuns(State.expireWorkers(now, Limits.TaskLease), now);
+    beginStop(run, StopCause::WorkerLost, "a worker went silent", now);
+  handleExpiredMembers(State.expireWorkers(now, Limits.TaskLease), now);
   std::vector<std::pair<RunId, std::string>> orphans;
   for (const auto &[run, r] : Runs)
     if (r.AdoptionDeadline < now)
@@ -542,7 +541,7 @@
     if (refusal->Reason == NotRunReason::CanNeverFit &&
         now < AnnouncementDeadline)
       return placement::Refusal{NotRunReason::NoCapacity,
-                                "not all workers have announced themselves yet",
+                                "workers are still announcing themselves",
                                 Limits.RetryAfterMs};
     return *refusal;
   }
@@ -559,8 +558,7 @@
   }
   for (const RunId &victim : alloc.WaitsFor)
     beginStop(victim, StopCause::Reclaimed,
-              "its accelerators were reclaimed for " + alloc.Job.Organisation,
-              now);
+              "its room was reclaimed for " + alloc.Job.Organisation, now);
   return std::nullopt;
 }
 
