--- a/src/libs/agent/agentservice.cpp
+++ b/src/libs/agent/agentservice.cpp
@@ -17,9 +17,8 @@
 
 namespace {
 constexpr int EntryCallTimeoutMs = 1000;
-// Every heartbeat of this number is sent to all entries, so that a previous
-// leader that was paused and answers again is detected within this many
-// heartbeats.
+// One in this many heartbeats is sent to all entries, so that a previous leader
+// that was paused and answers again is detected within this many heartbeats.
 constexpr uint64_t HeartbeatsPerBroadcast = 3;
 constexpr long BackendControlTimeoutMs = 1000;
 const absl::Duration RetryPeriod = absl::Milliseconds(100);
@@ -71,8 +70,8 @@
 void AgentService::sendHeartbeats() {
   core::WorkerInfo info = Settings.Worker;
   info.Address = Server->address();
-  // The same message serves as a heartbeat, lists the tasks of this worker, and
-  // registers the worker with an entry that has just started.
+  // Every heartbeat is a complete Announce message: it also lists the tasks of
+  // this worker, and registers the worker with an entry that has just started.
   int64_t epoch = 0;
   {
     absl::MutexLock lock(&Mu);
@@ -123,7 +122,7 @@
 }
 
 // Returns the leading entry. Returns all entries if the leader did not answer
-// the previous heartbeat, while this worker drains, and in regular intervals,
+// the previous heartbeat, while this worker drains, and at regular intervals,
 // so that a newer leader is found even while the previous one still answers.
 std::vector<std::shared_ptr<endpoints::RequestChannel>>
 AgentService::heartbeatTargets() {
@@ -171,7 +170,8 @@
     sendHeartbeats();
     renewTaskLeases(backend);
     // A reservation whose Run message never arrives, because the entry crashed
-    // or abandoned the gang, would occupy accelerators forever.
+    // or abandoned the gang, would occupy accelerators forever. The reservation
+    // timeout frees them.
     for (const std::string &run : Tasks.dropExpired(steadyNow()))
       logEvent(Event::TaskReleased,
                {{"task", run}, {"why", "reservation timed out"}});
@@ -193,7 +193,7 @@
     // received here.
     absl::MutexLock lock(&Mu);
     if (epoch < Epoch)
-      return Ack{false, "fenced: another entry is the leader", Epoch};
+      return Ack{false, "fenced: another entry leads now", Epoch};
     Epoch = epoch;
     // Refuses a gang that was placed under an older profile version than the
     // one in force here. No member of it runs yet, and its entry places it
@@ -209,7 +209,7 @@
   }
   std::string refusal;
   if (const auto *r = std::get_if<endpoints::Reserve>(&message)) {
-    refusal = Draining ? "worker is draining" : Tasks.reserve(*r, steadyNow());
+    refusal = Draining ? "worker is leaving" : Tasks.reserve(*r, steadyNow());
     if (refusal.empty())
       logEvent(Event::TaskReserved, {{"task", r->Run}});
   } else if (const auto *run = std::get_if<endpoints::Run>(&message)) {
@@ -233,9 +233,9 @@
       if (!ResultQueue.tryPush({stop->Run, member, Settings.Worker.Id,
                                 endpoints::TaskEnd::Stopped, "did not run",
                                 ""}))
-        refusal = "result queue is full; retry later";
+        refusal = "busy; send again";
   } else {
-    refusal = "agents do not accept this message type";
+    refusal = "an agent does not take this message";
   }
   return Ack{refusal.empty(), refusal};
 }
@@ -281,8 +281,9 @@
   while (std::optional<endpoints::TaskResult> result =
              ResultQueue.pop(absl::InfiniteDuration())) {
     const TaskKey key{result->Run, result->Member};
-    // Repeats the report until the leading entry acknowledges it. While no
-    // entry leads, the result waits for the next leader.
+    // Repeats the report until the leading entry acknowledges it, because only
+    // then does that entry know the end. While no entry leads, the result waits
+    // for the next leader.
     for (bool acknowledged = false; !acknowledged;) {
       std::shared_ptr<endpoints::RequestChannel> leader;
       {
--- a/src/libs/agent/agentservice.h
+++ b/src/libs/agent/agentservice.h
@@ -68,11 +68,12 @@
   std::unique_ptr<endpoints::ReplyServer> Server;
 
   mutable absl::Mutex Mu;
-  /// Highest epoch that any entry answered with. Leader is that entry.
+  /// Highest epoch received from any entry. Leader is the last entry whose
+  /// answer had the highest epoch known by then.
   int64_t Epoch = 0;
   int64_t ConfigVersion = 0;
   std::shared_ptr<endpoints::RequestChannel> Leader;
-  /// The leader answered the last heartbeat.
+  /// A leader answered the last heartbeat.
   bool LeaderAnswered = false;
   uint64_t HeartbeatCount = 0;
   /// When the last heartbeat that the leader answered was sent.
--- a/src/libs/agent/leaderfinder.h
+++ b/src/libs/agent/leaderfinder.h
@@ -10,7 +10,7 @@
 
 /// Finds the leading entry from the answers of entries, each of which knows the
 /// leader that the store names. This class only decides; its owner sends the
-/// reports and reads the store. It persists nothing across a restart, as all
+/// reports and reads the store. Nothing is kept across a restart, and all
 /// addresses may change.
 class LeaderFinder {
 public:
--- a/src/libs/agent/startbook.h
+++ b/src/libs/agent/startbook.h
@@ -14,22 +14,25 @@
 /// which may still start. Uses no threads, clock or sockets.
 class StartBook {
 public:
-  /// A start is sent to the worker, for the first time or as a retry.
+  /// Records that a start is sent to the worker, for the first time or as a
+  /// retry.
   void sent(const endpoints::RunId &run, absl::Time now);
-  /// The worker, or another incarnation under its id, accepted the run.
+  /// Records that the worker, or another incarnation under its id, accepted the
+  /// run.
   void taken(const endpoints::RunId &run);
-  /// This incarnation listed the run, as running or ended.
+  /// Records that this incarnation listed the run, as running or ended.
   void listed(const endpoints::RunId &run);
-  /// The worker certainly did not start the run.
+  /// Records that the worker certainly did not start the run.
   void neverBegan(const endpoints::RunId &run);
-  /// The worker answered a call.
+  /// Records that the worker answered a call.
   void answered(absl::Time now);
-  /// A call got no answer.
+  /// Records that a call got no answer.
   void unanswered(absl::Time now);
 
-  /// Returns the runs that started, or may have started, less than
-  /// endpoints::CrashShowsWithin before the worker stopped answering. They may
-  /// have crashed it.
+  /// Returns the runs that may have crashed the worker: those that started, or
+  /// may have started, less than endpoints::CrashShowsWithin before its last
+  /// answer or after that answer. Runs that were sent after the first
+  /// unanswered call are excluded.
   std::vector<endpoints::RunId> justBegun() const;
   /// Returns the runs that this incarnation never listed and that the next one
   /// under its id may have or still receive. If nothing listens at the worker's
--- a/src/libs/agent/tasktable.cpp
+++ b/src/libs/agent/tasktable.cpp
@@ -19,7 +19,7 @@
                                absl::Time now) {
   absl::MutexLock lock(&Mu);
   if (RefusedRuns.count(message.Run) != 0)
-    return "the run was already released or stopped";
+    return "this run was released or stopped";
   if (Reservations.count(message.Run) != 0)
     return {};
   const int wanted =
@@ -36,7 +36,7 @@
                              std::vector<Task> &out) {
   absl::MutexLock lock(&Mu);
   if (RefusedRuns.count(message.Run) != 0)
-    return "the run was already started, released or stopped";
+    return "already started, released or stopped";
   auto it = Reservations.find(message.Run);
   if (it == Reservations.end())
     return "no reservation for this run";
--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -57,12 +57,12 @@
     : Loop(loop), Peers(std::move(peers)), Worker(std::move(worker)),
       Settings(std::move(settings)), Time(settings::deriveTiming(Settings)),
       Calls(std::move(store)), EntryPrefix(std::move(entryPrefix)),
-      OrderCompleted(std::move(onCompleted)) {
+      NotifyOrderCompleted(std::move(onCompleted)) {
   Peers.Serve([this, alive = Alive](const Message &m, const auto &respond) {
     if (*alive)
       respond(onMessage(m));
     else
-      respond(endpoints::Ack{false, "this agent is shutting down"});
+      respond(endpoints::Ack{false, "this agent has stopped"});
   });
 }
 
@@ -198,7 +198,8 @@
   if (changed)
     reportSoon();
   // While the worker lists ends that are not acknowledged, it answers each poll
-  // at once. The answer of the leader starts the next poll in that case.
+  // at once, so the next poll follows after a pause. An acknowledgement of the
+  // leader starts a poll earlier.
   scheduleKeepAlive(pauseBeforePoll());
 }
 
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -43,7 +43,7 @@
 /// keeps the worker's tasks alive for as long as the leader grants it, polls
 /// the worker for ended runs, carries out the leader's orders and reports all
 /// of this to the leader. It persists nothing: a new agent learns the state
-/// with one keep-alive call to its worker. Owned by one event loop.
+/// from one keep-alive call to its worker. Owned by one event loop.
 class WorkerAgent {
 public:
   /// Called with the outcome of each order, for counting.
@@ -61,7 +61,8 @@
   /// Handles a heartbeat of the worker. Returns true if the heartbeat can be
   /// acknowledged.
   bool onHeartbeat(const endpoints::Heartbeat &heartbeat);
-  /// Handles the message of a worker incarnation that it has ended.
+  /// Handles the deregistration of a worker incarnation, which announces its
+  /// end.
   void onLeave(const endpoints::WorkerLife &incarnation);
   /// Stops as planned: the tasks are kept alive for as long as granted, so that
   /// they survive the change to the next agent process. Calls done when this
@@ -142,7 +143,7 @@
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   const platform::Store Calls;
   const std::string EntryPrefix;
-  const OnOrderCompleted OrderCompleted;
+  const OnOrderCompleted NotifyOrderCompleted;
   LeaderFinder Leader;
   bool ReadingEntries = false;
 
@@ -205,7 +206,7 @@
   /// Stopped runs that the worker's lists have not confirmed yet, with the
   /// number of the first keep-alive call that was sent after the stop.
   std::map<RunKey, uint64_t> UnconfirmedStops;
-  /// Outcomes of completed orders, to answer orders that are sent again.
+  /// Outcomes of completed orders, to answer starts that are sent again.
   std::map<RunKey, endpoints::OrderResult> CompletedOrders;
   std::deque<RunKey> CompletionOrder;
   /// Results that the leader has not acknowledged. FirstResultNumber is the
--- a/src/libs/agent/workeragent_life.cpp
+++ b/src/libs/agent/workeragent_life.cpp
@@ -88,7 +88,7 @@
             {"why", "that incarnation has ended"}});
 }
 
-// A heartbeat that was delayed by a network failure may arrive after its sender
+// A heartbeat that was delayed by a network outage may arrive after its sender
 // crashed and a new incarnation began at the same address. Only the worker
 // itself can tell which of two incarnations is the current one.
 void WorkerAgent::probeIncarnation(const Heartbeat &heartbeat) {
@@ -222,7 +222,8 @@
       [&](const LifeEnd &end) { return end.Life == incarnation; });
 }
 
-// Called when an incarnation that counted as ended is still running.
+// Removes the record of an incarnation that counted as ended, but turned out to
+// be still running.
 void WorkerAgent::removeIncarnationEnd(const WorkerLife &incarnation) {
   IgnoredIncarnations.erase(incarnation);
   std::erase_if(EndedIncarnations,
--- a/src/libs/agent/workeragent_orders.cpp
+++ b/src/libs/agent/workeragent_orders.cpp
@@ -51,15 +51,15 @@
 Message WorkerAgent::onMessage(const Message &message) {
   if (const auto *orders = std::get_if<endpoints::WorkerOrders>(&message))
     return onOrders(*orders);
-  return endpoints::Ack{false, "agents do not accept this message type"};
+  return endpoints::Ack{false, "an agent does not take that message"};
 }
 
 endpoints::Ack WorkerAgent::onOrders(const endpoints::WorkerOrders &orders) {
   // An entry that was paused may still act as leader after another took over.
   if (orders.Epoch < Epoch)
-    return {false, "fenced: another entry is the leader", Epoch};
+    return {false, "fenced: another entry leads", Epoch};
   if (State.Life.empty())
-    return {false, "no worker has announced itself yet", Epoch};
+    return {false, "no worker has shown up yet", Epoch};
   Epoch = orders.Epoch;
   logEvent(Event::OrderReceived, {{"worker", orders.Life.Id},
                                   {"epoch", orders.Epoch},
@@ -70,7 +70,7 @@
     const RunKey key{stop.Task, stop.Run};
     if (otherIncarnation)
       completeOrder(key, OrderOutcome::Gone,
-                    "that incarnation of the worker has ended");
+                    "that life of the worker has ended");
     else if (StopsInProgress.count(key) == 0) {
       auto order = std::make_shared<Order>();
       order->Stop = stop;
@@ -85,7 +85,7 @@
     auto known = CompletedOrders.find(key);
     if (otherIncarnation) {
       completeOrder(key, OrderOutcome::Gone,
-                    "that incarnation of the worker has ended");
+                    "that life of the worker has ended");
     } else if (known != CompletedOrders.end()) {
       Results.push_back(known->second);
       reportSoon();
@@ -113,8 +113,8 @@
             {"why", detail}});
   if (outcome != OrderOutcome::Started && outcome != OrderOutcome::Unconfirmed)
     SentStarts.neverBegan({run.first, run.second});
-  if (OrderCompleted)
-    OrderCompleted(result);
+  if (NotifyOrderCompleted)
+    NotifyOrderCompleted(result);
   if (CompletedOrders.emplace(run, result).second)
     CompletionOrder.push_back(run);
   else
@@ -145,7 +145,7 @@
     completeOrder(key,
                   order->PossiblyDelivered ? OrderOutcome::Unconfirmed
                                            : OrderOutcome::NoRoom,
-                  "the worker's capacity has decreased");
+                  "its capacity has shrunk");
     return;
   }
   // No run may start without a grant, as the leader may already count this
@@ -157,7 +157,7 @@
     completeOrder(key,
                   order->PossiblyDelivered ? OrderOutcome::Unconfirmed
                                            : OrderOutcome::Refused,
-                  "no grant to keep the task alive");
+                  "no grant to keep it alive");
     return;
   }
   endpoints::StartCall call;
@@ -275,8 +275,7 @@
     }
     it = UnconfirmedStops.erase(it);
     if (ended.count(key) == 0)
-      completeOrder(key, OrderOutcome::Absent,
-                    "the worker does not know the run");
+      completeOrder(key, OrderOutcome::Absent, "the worker does not know it");
   }
 }
 
--- a/src/libs/endpoints/channel.h
+++ b/src/libs/endpoints/channel.h
@@ -67,7 +67,7 @@
 };
 
 /// The replying side: a thread that answers each request with the result of the
-/// handler. Handlers run one at a time on that thread and must not block.
+/// handler. Handlers run one at a time on that thread and must return quickly.
 class ReplyServer {
 public:
   using Handler = std::function<Message(const Message &)>;
--- a/src/libs/endpoints/messages.h
+++ b/src/libs/endpoints/messages.h
@@ -16,7 +16,8 @@
 #include <vector>
 
 // The messages between entries and agents, and between entries. Each is sent as
-// CBOR over an nng request/reply pair and answered by an Ack. Epoch is the
+// CBOR over an nng request/reply pair and answered by an Ack, ReportAck or
+// ForwardedAnswer. Epoch is the
 // fencing token of the leading entry: it grows with each change of leader, and
 // receivers refuse messages with a lower epoch than the highest one that they
 // know.
@@ -121,7 +122,7 @@
   auto operator<=>(const Answered &) const = default;
 };
 
-/// Entry to the leading entry: the caller cancels this job.
+/// Entry to the leading entry: the caller cancels its jobs with this id.
 struct Cancel {
   std::string Organisation;
   std::string JobId;
@@ -237,13 +238,14 @@
 /// worker that still runs after this time was not crashed by the run.
 constexpr absl::Duration CrashShowsWithin = absl::Milliseconds(500);
 
-/// Maximum time after which a worker may still carry out an order that got no
-/// answer.
+/// Time within which a worker carries out an order that got no answer, if it
+/// does so at all.
 constexpr absl::Duration LateOrdersWithin = absl::Seconds(15);
 
 /// The end of a worker incarnation. Crashed: it ended without notice, and no
 /// shutdown was planned. JustBegun: the runs that may have crashed it, because
-/// they started, or may have started, less than CrashShowsWithin before.
+/// they started, or may have started, less than CrashShowsWithin before it
+/// stopped answering.
 /// Witnessed: the agent served that incarnation and knows which orders it sent;
 /// else the agent has only learned that the incarnation has ended.
 /// MayStillBegin: starts that the next incarnation under the same id may still
@@ -376,7 +378,7 @@
   auto operator<=>(const ForwardedAnswer &) const = default;
 };
 
-/// A new leader to a previous one: step down, so send no more grants and
+/// A new leader to a previous one: step down, that is, send no more grants and
 /// orders. Acknowledged as soon as the receiver has stopped both, also by a
 /// process that never led.
 struct StandDown {
--- a/src/libs/endpoints/workercalls.h
+++ b/src/libs/endpoints/workercalls.h
@@ -49,8 +49,8 @@
   int64_t BornMs = 0;
 };
 
-/// Starts a run. UntilMs is a time on the worker's clock: the run ends then
-/// unless it is kept alive longer.
+/// Starts a run. UntilMs is a time on the worker's clock: all runs of the
+/// worker end then unless they are kept alive longer.
 struct StartCall {
   WorkerLife Life;
   StartOrder Order;
--- a/src/libs/platform/election.cpp
+++ b/src/libs/platform/election.cpp
@@ -179,7 +179,7 @@
   campaign();
 }
 
-bool Election::deferToLargerEntry() {
+bool Election::mustDeferToLargerEntry() {
   if (!Options.LargerIsKnown())
     return false;
   const absl::Time now = Loop.now();
@@ -198,7 +198,7 @@
   if (Resigned || CampaignPending || !ViewComplete || Lease == 0 ||
       KnownLeadership.Epoch != 0)
     return;
-  if (deferToLargerEntry())
+  if (mustDeferToLargerEntry())
     return;
   CampaignPending = true;
   StoreTxn txn;
--- a/src/libs/platform/election.h
+++ b/src/libs/platform/election.h
@@ -16,8 +16,7 @@
 /// The record by which an entry registers itself in the store.
 struct EntryRecord {
   std::string Address;
-  /// Share of the machine's processor that the entry gets, as a fraction of one
-  /// core.
+  /// Processor time that the entry gets, as a fraction of one core.
   double ProcessorShare = 0;
   auto operator<=>(const EntryRecord &) const = default;
 };
@@ -87,7 +86,7 @@
   void onViewComplete();
   /// Returns whether this entry currently leaves the election to a larger
   /// entry. Starts the waiting time on the first call.
-  bool deferToLargerEntry();
+  bool mustDeferToLargerEntry();
   /// Tries to create the leader's key, if no entry leads.
   void campaign();
   void setLeadership(Leadership next);
--- a/src/libs/platform/kvclient.h
+++ b/src/libs/platform/kvclient.h
@@ -92,7 +92,8 @@
   utils::Result<int64_t> keepAlive(int64_t lease);
   /// Ends lease immediately; the store removes its keys.
   utils::Result<void> revokeLease(int64_t lease);
-  /// Waits up to timeoutMs for changes under prefix since fromRevision.
+  /// Waits up to timeoutMs for changes under prefix, starting with
+  /// fromRevision.
   utils::Result<WatchBatch> watch(const std::string &prefix,
                                   int64_t fromRevision, long timeoutMs);
 
--- a/src/libs/platform/leaderelection.cpp
+++ b/src/libs/platform/leaderelection.cpp
@@ -109,7 +109,7 @@
     resigned = Resigned;
   }
   if (KnownLeadership.Epoch == 0 && !resigned) {
-    // The key is created only if it does not exist, so exactly one of several
+    // The key is created only if it does not exist, so only one of several
     // entries succeeds. Reading the key afterwards resolves a lost reply.
     auto won = Kv.compareAndSwap(LeaderKey, Address, 0, Lease);
     (void)won;
--- a/src/libs/platform/store.h
+++ b/src/libs/platform/store.h
@@ -107,7 +107,7 @@
 };
 
 /// Consistency of a read. Linearizable reads include every acknowledged write.
-/// MaybeStale reads can be seconds old, but cost only a fraction.
+/// MaybeStale reads can be seconds old, but cost only a fraction of that.
 enum class ReadMode { Linearizable, MaybeStale };
 
 /// The platform's key-value store as asynchronous calls. A store adapter
