--- a/src/libs/endpoints/messages.h
+++ b/src/libs/endpoints/messages.h
@@ -17,10 +17,9 @@
 
 // The messages between entries and agents, and between entries. Each is sent as
 // CBOR over an nng request/reply pair and answered by an Ack, ReportAck or
-// ForwardedAnswer. Epoch is the
-// fencing token of the leading entry: it grows with each change of leader, and
-// receivers refuse messages with a lower epoch than the highest one that they
-// know.
+// ForwardedAnswer. Epoch is the fencing token of the leading entry: it grows
+// with each change of leader, and receivers refuse messages with a lower epoch
+// than the highest one that they know.
 namespace oriolebay::endpoints {
 
 /// A task of an agent whose end has not been reported yet.
