--- a/src/libs/agent/latestarts.h
+++ b/src/libs/agent/latestarts.h
@@ -9,22 +9,27 @@
 
 namespace oriolebay::agent {
 
-/// Starts of which a try had no answer: it may be carried out late, also by the
-/// next life of the worker under the same id, and also if another try was
-/// answered and the run has ended since. No threads, clock or sockets.
-class LateStarts {
+/// Tracks starts with an attempt that got no answer. The worker, or its next
+/// incarnation under the same id, may still carry out such an attempt late,
+/// even if another attempt was answered and the run has ended since. Uses no
+/// threads, clock or sockets.
+class UnansweredStarts {
 public:
-  void unanswered(const endpoints::RunId &run, absl::Time now);
-  /// No life carries the run out from now on.
-  void settled(const endpoints::RunId &run) { LastTries.erase(run); }
-  /// No life answers to that id any more.
-  void clear() { LastTries.clear(); }
-  /// Whether the run may still be carried out.
-  bool isOpen(const endpoints::RunId &run, absl::Time now) const;
-  std::vector<endpoints::RunId> open(absl::Time now) const;
+  /// Records that an attempt to start the run got no answer.
+  void recordAttempt(const endpoints::RunId &run, absl::Time now);
+  /// Records that no incarnation can carry out the run from now on.
+  void markResolved(const endpoints::RunId &run) { LastAttempts.erase(run); }
+  /// Drops all starts. Called when no incarnation uses the worker's id any
+  /// more.
+  void clear() { LastAttempts.clear(); }
+  /// Returns whether a worker may still carry out the run.
+  bool isUnresolved(const endpoints::RunId &run, absl::Time now) const;
+  /// Returns all runs that a worker may still carry out.
+  std::vector<endpoints::RunId> unresolvedRuns(absl::Time now) const;
 
 private:
-  std::map<endpoints::RunId, absl::Time> LastTries;
+  /// Time of the latest unanswered attempt of each run.
+  std::map<endpoints::RunId, absl::Time> LastAttempts;
 };
 
 } // namespace oriolebay::agent
