--- a/tests/auto/agent/tst_leaderfinder.cpp
+++ b/tests/auto/agent/tst_leaderfinder.cpp
@@ -7,7 +7,7 @@
 
 using endpoints::ReportAck;
 
-ReportAck leads(int64_t epoch, bool doubtful = false) {
+ReportAck leaderAck(int64_t epoch, bool doubtful = false) {
   ReportAck ack;
   ack.Epoch = epoch;
   ack.Doubtful = doubtful;
@@ -15,7 +15,7 @@
   return ack;
 }
 
-ReportAck follows(const std::string &leader, int64_t epoch) {
+ReportAck followerAck(const std::string &leader, int64_t epoch) {
   ReportAck ack;
   ack.Leader = leader;
   ack.LeaderEpoch = epoch;
@@ -23,53 +23,55 @@
   return ack;
 }
 
-TEST(LeaderFinder, FollowsTheHintOfAnyEntry) {
+TEST(LeaderFinder, ReportsToTheLeaderThatAnyEntryNames) {
   LeaderFinder finder;
   EXPECT_TRUE(finder.wantsEntries());
   finder.learnEntries({"a", "b", "c"});
   EXPECT_EQ(finder.target(), "a");
-  EXPECT_FALSE(finder.onAnswer("a", follows("c", 7)));
+  EXPECT_FALSE(finder.onAnswer("a", followerAck("c", 7)));
   EXPECT_EQ(finder.target(), "c");
-  EXPECT_TRUE(finder.onAnswer("c", leads(7)));
+  EXPECT_TRUE(finder.onAnswer("c", leaderAck(7)));
   EXPECT_TRUE(finder.knowsLeader());
 }
 
-// The store turns the leader away and serves the others; another entry takes
-// the lead after two seconds. Users saw nothing start for five more: agents
-// went on reporting to the old leader, which still answered them.
-TEST(LeaderFinder, AsksAnotherEntryWhileTheLeaderIsInDoubt) {
+// Guards against agents that keep reporting to a replaced leader. The store
+// refuses the leader's calls and serves the other entries, one of which becomes
+// leader after two seconds. No task was started for five more seconds, because
+// the old leader still answered the agents.
+TEST(LeaderFinder, AsksASecondEntryWhileTheLeaderIsDoubtful) {
   LeaderFinder finder;
   finder.learnEntries({"a", "b", "c"});
-  ASSERT_TRUE(finder.onAnswer("a", leads(7)));
+  ASSERT_TRUE(finder.onAnswer("a", leaderAck(7)));
   EXPECT_FALSE(finder.secondTarget().has_value());
-  ASSERT_TRUE(finder.onAnswer("a", leads(7, true)));
+  ASSERT_TRUE(finder.onAnswer("a", leaderAck(7, true)));
   const std::optional<std::string> second = finder.secondTarget();
   ASSERT_TRUE(second.has_value());
   EXPECT_NE(*second, "a");
-  EXPECT_FALSE(finder.onAnswer(*second, follows("c", 9)));
+  EXPECT_FALSE(finder.onAnswer(*second, followerAck("c", 9)));
   EXPECT_EQ(finder.target(), "c");
-  EXPECT_TRUE(finder.onAnswer("c", leads(9)));
-  // The old leader's late answer changes nothing.
-  EXPECT_FALSE(finder.onAnswer("a", leads(7)));
+  EXPECT_TRUE(finder.onAnswer("c", leaderAck(9)));
+  // A late answer of the old leader is ignored.
+  EXPECT_FALSE(finder.onAnswer("a", leaderAck(7)));
   EXPECT_EQ(finder.target(), "c");
 }
 
-// In an outage of the store for all, nobody can take over: the old leader,
-// though in doubt, stays the one that grants.
-TEST(LeaderFinder, StaysWithALeaderInDoubtWhenNobodyElseLeads) {
+// While the store is unavailable to all entries, no other entry can be elected:
+// agents must keep to the old leader, although it is doubtful, because only its
+// grants keep their tasks alive.
+TEST(LeaderFinder, KeepsADoubtfulLeaderWhenNoOtherEntryLeads) {
   LeaderFinder finder;
   finder.learnEntries({"a", "b", "c"});
-  ASSERT_TRUE(finder.onAnswer("a", leads(7, true)));
+  ASSERT_TRUE(finder.onAnswer("a", leaderAck(7, true)));
   for (int i = 0; i < 5; ++i) {
     const std::optional<std::string> second = finder.secondTarget();
     ASSERT_TRUE(second.has_value());
-    EXPECT_FALSE(finder.onAnswer(*second, follows("a", 7)));
+    EXPECT_FALSE(finder.onAnswer(*second, followerAck("a", 7)));
     EXPECT_EQ(finder.target(), "a");
     EXPECT_TRUE(finder.knowsLeader());
   }
 }
 
-TEST(LeaderFinder, TriesOthersAndThenTheStoreWhenNobodyAnswers) {
+TEST(LeaderFinder, TriesOtherEntriesAndThenTheStoreWhenNoneAnswers) {
   LeaderFinder finder;
   finder.learnEntries({"a", "b"});
   finder.onSilence("a");
--- a/tests/auto/agent/tst_startbook.cpp
+++ b/tests/auto/agent/tst_startbook.cpp
@@ -8,55 +8,56 @@
 namespace oriolebay::agent {
 namespace {
 
-enum class Seen { Sent, Taken, Listed, NeverBegan, Answered, Unanswered };
+enum class EventKind { Sent, Taken, Listed, NeverBegan, Answered, Unanswered };
 
-struct Step {
+struct Event {
   int AtMs;
-  Seen What;
+  EventKind Kind;
 };
 
-struct Case {
+struct StartCase {
   const char *Name;
-  std::vector<Step> Steps;
-  /// The start counts as one that may have crashed the worker, or that the next
-  /// life may carry out where somebody listens, and where nobody does.
+  std::vector<Event> Events;
+  /// Whether the start may have crashed the worker.
   bool JustBegun;
-  bool MayBegin = true;
-  bool MayBeginLater = true;
+  /// Whether the next incarnation may still carry out the start if something
+  /// listens at the worker's address, and if nothing does.
+  bool MayStillBegin = true;
+  bool MayStillBeginIfNothingListens = true;
 };
 
-void PrintTo(const Case &c, std::ostream *out) { *out << c.Name; }
+void PrintTo(const StartCase &c, std::ostream *out) { *out << c.Name; }
 
-const endpoints::RunId OneRun{"j.0.0.0", 1};
+const endpoints::RunId TestRun{"j.0.0.0", 1};
 
-class StartBeforeAnEnd : public testing::TestWithParam<Case> {
+class StartBeforeWorkerEnd : public testing::TestWithParam<StartCase> {
 protected:
-  StartBook play() const;
+  StartBook replay() const;
 };
 
-StartBook StartBeforeAnEnd::play() const {
+StartBook StartBeforeWorkerEnd::replay() const {
   const absl::Time start = absl::UnixEpoch();
-  const endpoints::RunId &run = OneRun;
+  const endpoints::RunId &run = TestRun;
   StartBook book;
-  for (const Step &step : GetParam().Steps) {
-    const absl::Time now = start + absl::Milliseconds(step.AtMs);
-    switch (step.What) {
-    case Seen::Sent:
+  for (const Event &event : GetParam().Events) {
+    const absl::Time now = start + absl::Milliseconds(event.AtMs);
+    switch (event.Kind) {
+    case EventKind::Sent:
       book.sent(run, now);
       break;
-    case Seen::Taken:
+    case EventKind::Taken:
       book.taken(run);
       break;
-    case Seen::Listed:
+    case EventKind::Listed:
       book.listed(run);
       break;
-    case Seen::NeverBegan:
+    case EventKind::NeverBegan:
       book.neverBegan(run);
       break;
-    case Seen::Answered:
+    case EventKind::Answered:
       book.answered(now);
       break;
-    case Seen::Unanswered:
+    case EventKind::Unanswered:
       book.unanswered(now);
       break;
     }
@@ -64,83 +65,92 @@
   return book;
 }
 
-// Guards against a crash that is blamed on a task that has nothing to do with
-// it, and against one that is not blamed on the task that caused it.
-TEST_P(StartBeforeAnEnd, CountsAsItsCauseIfItMayBe) {
-  EXPECT_EQ(play().justBegun().size(), GetParam().JustBegun ? 1u : 0u);
+// Guards against a crash that is attributed to an unrelated task, and against
+// one that is not attributed to the task that caused it.
+TEST_P(StartBeforeWorkerEnd, IsAPossibleCauseOfTheCrashWhenExpected) {
+  EXPECT_EQ(replay().justBegun().size(), GetParam().JustBegun ? 1u : 0u);
 }
 
-// Guards against a start that its worker's next life carries out unnoticed, and
-// against work that waits for that life although it is certainly gone.
-TEST_P(StartBeforeAnEnd, IsSettledAtTheNextLifeIfThatMayHaveIt) {
-  const StartBook book = play();
-  EXPECT_EQ(book.mayStillBegin(false).size(), GetParam().MayBegin ? 1u : 0u);
+// Guards against a start that the worker's next incarnation carries out
+// unnoticed, and against a task that waits for the next incarnation although
+// its start is certainly lost.
+TEST_P(StartBeforeWorkerEnd, MayBeginInTheNextIncarnationWhenExpected) {
+  const StartBook book = replay();
+  EXPECT_EQ(book.mayStillBegin(false).size(),
+            GetParam().MayStillBegin ? 1u : 0u);
   EXPECT_EQ(book.mayStillBegin(true).size(),
-            GetParam().MayBeginLater ? 1u : 0u);
+            GetParam().MayStillBeginIfNothingListens ? 1u : 0u);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, StartBeforeAnEnd,
-    testing::Values(
-        Case{"answered_then_crashed",
-             {{0, Seen::Answered},
-              {10, Seen::Sent},
-              {12, Seen::Taken},
-              {12, Seen::Answered},
-              {22, Seen::Unanswered}},
-             true,
-             true,
-             false},
-        Case{"listed_then_crashed",
-             {{0, Seen::Answered},
-              {10, Seen::Sent},
-              {12, Seen::Answered},
-              {14, Seen::Listed},
-              {22, Seen::Unanswered}},
-             true,
-             false,
-             false},
-        Case{"crashed_before_the_answer",
-             {{0, Seen::Answered}, {10, Seen::Sent}, {20, Seen::Unanswered}},
-             true},
-        Case{"sent_again_without_answer",
-             {{0, Seen::Answered},
-              {10, Seen::Sent},
-              {20, Seen::Unanswered},
-              {80, Seen::Sent}},
-             true},
-        Case{"outlived_by_the_worker",
-             {{0, Seen::Sent},
-              {10, Seen::Listed},
-              {500, Seen::Answered},
-              {600, Seen::Unanswered}},
-             false,
-             false,
-             false},
-        Case{"never_seen_though_the_worker_lives_on",
-             {{0, Seen::Sent}, {500, Seen::Answered}, {600, Seen::Unanswered}},
-             false},
-        Case{"crash_seen_late",
-             {{0, Seen::Sent}, {400, Seen::Answered}, {900, Seen::Unanswered}},
-             true},
-        Case{"sent_to_a_worker_that_was_silent",
-             {{0, Seen::Answered}, {100, Seen::Unanswered}, {200, Seen::Sent}},
-             false},
-        Case{"sent_after_a_moment_of_silence",
-             {{0, Seen::Answered},
-              {100, Seen::Unanswered},
-              {150, Seen::Answered},
-              {200, Seen::Sent},
-              {210, Seen::Unanswered}},
-             true},
-        Case{"refused",
-             {{0, Seen::Answered},
-              {10, Seen::Sent},
-              {12, Seen::NeverBegan},
-              {22, Seen::Unanswered}},
-             false,
-             false,
-             false}),
+    Table, StartBeforeWorkerEnd,
+    testing::Values(StartCase{"answered_then_crashed",
+                              {{0, EventKind::Answered},
+                               {10, EventKind::Sent},
+                               {12, EventKind::Taken},
+                               {12, EventKind::Answered},
+                               {22, EventKind::Unanswered}},
+                              true,
+                              true,
+                              false},
+                    StartCase{"listed_then_crashed",
+                              {{0, EventKind::Answered},
+                               {10, EventKind::Sent},
+                               {12, EventKind::Answered},
+                               {14, EventKind::Listed},
+                               {22, EventKind::Unanswered}},
+                              true,
+                              false,
+                              false},
+                    StartCase{"crashed_before_the_answer",
+                              {{0, EventKind::Answered},
+                               {10, EventKind::Sent},
+                               {20, EventKind::Unanswered}},
+                              true},
+                    StartCase{"sent_again_without_answer",
+                              {{0, EventKind::Answered},
+                               {10, EventKind::Sent},
+                               {20, EventKind::Unanswered},
+                               {80, EventKind::Sent}},
+                              true},
+                    StartCase{"outlived_by_the_worker",
+                              {{0, EventKind::Sent},
+                               {10, EventKind::Listed},
+                               {500, EventKind::Answered},
+                               {600, EventKind::Unanswered}},
+                              false,
+                              false,
+                              false},
+                    StartCase{"never_listed_though_the_worker_kept_running",
+                              {{0, EventKind::Sent},
+                               {500, EventKind::Answered},
+                               {600, EventKind::Unanswered}},
+                              false},
+                    StartCase{"crash_seen_late",
+                              {{0, EventKind::Sent},
+                               {400, EventKind::Answered},
+                               {900, EventKind::Unanswered}},
+                              true},
+                    StartCase{"sent_to_an_unresponsive_worker",
+                              {{0, EventKind::Answered},
+                               {100, EventKind::Unanswered},
+                               {200, EventKind::Sent}},
+                              false},
+                    StartCase{"sent_after_a_short_silence",
+                              {{0, EventKind::Answered},
+                               {100, EventKind::Unanswered},
+                               {150, EventKind::Answered},
+                               {200, EventKind::Sent},
+                               {210, EventKind::Unanswered}},
+                              true},
+                    StartCase{"refused",
+                              {{0, EventKind::Answered},
+                               {10, EventKind::Sent},
+                               {12, EventKind::NeverBegan},
+                               {22, EventKind::Unanswered}},
+                              false,
+                              false,
+                              false}),
     [](const auto &test) { return std::string(test.param.Name); });
 
 } // namespace
--- a/tests/auto/placement/tst_placer.cpp
+++ b/tests/auto/placement/tst_placer.cpp
@@ -12,26 +12,27 @@
 
 namespace {
 
-// Checks what every placement must hold: the whole gang or nothing, and no
-// worker given more accelerators than it has free.
+// Checks the invariants of every placement: it covers all members of the gang,
+// and no worker is assigned more accelerators than it has free.
 void expectValid(const std::vector<FreeWorker> &workers,
                  const core::Shape &shape,
-                 const std::optional<placement::Assignment> &a) {
-  if (!a)
+                 const std::optional<placement::Assignment> &assignment) {
+  if (!assignment)
     return;
-  ASSERT_EQ(static_cast<int>(a->size()), shape.Members);
+  ASSERT_EQ(static_cast<int>(assignment->size()), shape.Members);
   std::map<std::string, int> used;
-  for (const std::string &w : *a)
+  for (const std::string &w : *assignment)
     used[w] += shape.AcceleratorsPerMember;
   for (const FreeWorker &w : workers)
     EXPECT_LE(used[w.Id], w.FreeAccelerators) << w.Id;
 }
 
-int capacity(const std::vector<FreeWorker> &workers, const core::Shape &s) {
-  int n = 0;
+int membersThatFit(const std::vector<FreeWorker> &workers,
+                   const core::Shape &memberShape) {
+  int members = 0;
   for (const FreeWorker &w : workers)
-    n += w.FreeAccelerators / s.AcceleratorsPerMember;
-  return n;
+    members += w.FreeAccelerators / memberShape.AcceleratorsPerMember;
+  return members;
 }
 
 struct RandomCase {
@@ -42,27 +43,28 @@
 
 class PlacerDifferential : public testing::TestWithParam<RandomCase> {};
 
-// The packed placer against the first-fit baseline on random sites: both
-// obey the invariants, and both can place a gang exactly when the site has
-// room for all its members.
-TEST_P(PlacerDifferential, SameFeasibilityAndInvariants) {
+// Compares the packed placer with the first-fit baseline on random sites: both
+// must keep the invariants, and both must place a gang exactly when the free
+// accelerators suffice for all its members.
+TEST_P(PlacerDifferential, BothPlaceValidlyExactlyWhenTheGangFits) {
   const RandomCase c = GetParam();
-  std::mt19937 gen(c.Seed);
+  std::mt19937 generator(c.Seed);
   for (int round = 0; round < 200; ++round) {
     std::vector<FreeWorker> workers;
     for (int i = 0; i < c.Workers; ++i)
       workers.push_back({"w" + std::to_string(i), "fd" + std::to_string(i % 3),
                          "r" + std::to_string(i / 3),
-                         std::uniform_int_distribution<int>(0, 8)(gen)});
-    core::Shape shape{std::uniform_int_distribution<int>(1, c.MaxMembers)(gen),
-                      std::uniform_int_distribution<int>(1, 8)(gen), 100};
+                         std::uniform_int_distribution<int>(0, 8)(generator)});
+    core::Shape shape{
+        std::uniform_int_distribution<int>(1, c.MaxMembers)(generator),
+        std::uniform_int_distribution<int>(1, 8)(generator), 100};
     auto packed = placement::placePacked(workers, shape);
-    auto naive = placement::placeFirstFit(workers, shape);
+    auto firstFit = placement::placeFirstFit(workers, shape);
     expectValid(workers, shape, packed);
-    expectValid(workers, shape, naive);
-    const bool fits = capacity(workers, shape) >= shape.Members;
+    expectValid(workers, shape, firstFit);
+    const bool fits = membersThatFit(workers, shape) >= shape.Members;
     EXPECT_EQ(packed.has_value(), fits);
-    EXPECT_EQ(naive.has_value(), fits);
+    EXPECT_EQ(firstFit.has_value(), fits);
   }
 }
 
@@ -86,17 +88,18 @@
 
 class PackedTopology : public testing::TestWithParam<TopologyCase> {};
 
-// Where one rack can hold the whole gang, the packed placer uses one rack,
-// and the tightest one, so that emptier racks stay whole for larger gangs.
-TEST_P(PackedTopology, KeepsGangInTightestRack) {
+// If one rack has enough free accelerators for the whole gang, the packed
+// placer must use one rack, and the one with the fewest free accelerators that
+// suffice, so that emptier racks stay available to larger gangs.
+TEST_P(PackedTopology, PlacesGangInTheFullestRackThatFits) {
   const TopologyCase &c = GetParam();
-  auto a = placement::placePacked(c.Workers, c.Shape);
-  ASSERT_TRUE(a.has_value()) << c.Name;
+  auto assignment = placement::placePacked(c.Workers, c.Shape);
+  ASSERT_TRUE(assignment.has_value()) << c.Name;
   std::set<std::string> racks;
-  for (const std::string &w : *a)
-    for (const FreeWorker &fw : c.Workers)
-      if (fw.Id == w)
-        racks.insert(fw.Rack);
+  for (const std::string &w : *assignment)
+    for (const FreeWorker &worker : c.Workers)
+      if (worker.Id == w)
+        racks.insert(worker.Rack);
   EXPECT_EQ(racks.size(), 1u) << c.Name;
   EXPECT_TRUE(c.AllowedRacks.count(*racks.begin())) << c.Name;
 }
@@ -110,7 +113,7 @@
                                   {"b2", "fd", "rb", 8}},
                                  {2, 4, 0},
                                  {"ra"}},
-                    TopologyCase{"only one rack has room",
+                    TopologyCase{"only one rack has enough free accelerators",
                                  {{"a1", "fd", "ra", 2},
                                   {"b1", "fd2", "rb", 8},
                                   {"b2", "fd2", "rb", 8}},
@@ -120,9 +123,9 @@
       return oriolebay::testnames::storyName(info.param.Name);
     });
 
-// Fragmentation counts the free accelerators that a member of the shape
-// cannot use.
-TEST(Fragmentation, SharesOfUnusableRoom) {
+// Fragmentation is the share of the free accelerators that members of the given
+// shape cannot use.
+TEST(Fragmentation, IsTheUnusableShareOfFreeAccelerators) {
   std::vector<FreeWorker> workers = {{"a", "fd", "r", 8}, {"b", "fd", "r", 4}};
   EXPECT_DOUBLE_EQ(placement::fragmentation(workers, {1, 8, 0}), 4.0 / 12.0);
   EXPECT_DOUBLE_EQ(placement::fragmentation(workers, {1, 4, 0}), 0.0);
--- a/tests/auto/scheduler/tst_gangscheduler.cpp
+++ b/tests/auto/scheduler/tst_gangscheduler.cpp
@@ -27,15 +27,16 @@
   return j;
 }
 
-// Plays the agents and the callers of one scheduler: it does what the actions
-// say and checks, after every step, what must always hold.
-class Bench {
+// Simulates the agents and the callers of one scheduler. Carries out the
+// scheduler's actions and checks the invariants after every step.
+class SiteSimulation {
 public:
-  explicit Bench(placement::Placer placer, int workers, core::Profile profile)
+  explicit SiteSimulation(placement::Placer placer, int workers,
+                          core::Profile profile)
       : Sched(placement::ClusterState(std::move(placer), 500), policy(), "t",
               Now),
-        Site(std::move(profile)) {
-    Sched.onProfile(Site);
+        SiteProfile(std::move(profile)) {
+    Sched.onProfile(SiteProfile);
     for (int i = 0; i < workers; ++i)
       Agents["w" + std::to_string(i)] = {1, true};
     announceAll();
@@ -53,19 +54,19 @@
     const std::string id = "g" + std::to_string(Submitted++);
     job.Id = id;
     Sched.submit({id, job}, Now);
-    settle();
+    runActions();
     return id;
   }
 
-  void step(absl::Duration d) {
+  void advanceTime(absl::Duration d) {
     Now += d;
     announceAll();
-    settle();
+    runActions();
   }
 
-  // The tasks that were asked to stop end now.
+  // Ends every task that has been asked to stop.
   void finishStops() {
-    const auto stops = Stops;
+    const auto stops = PendingStops;
     for (const auto &[run, members] : stops)
       for (int m : members)
         endTask(run, m, endpoints::TaskEnd::Stopped);
@@ -76,17 +77,17 @@
     const std::string worker = it == Tasks.end() ? "w0" : it->second.Worker;
     if (it != Tasks.end())
       Tasks.erase(it);
-    Stops[run].erase(member);
+    PendingStops[run].erase(member);
     Sched.onTaskResult({run, member, worker, end, "", ""}, Now);
-    settle();
+    runActions();
   }
 
-  void endSome(std::mt19937 &gen, endpoints::TaskEnd end) {
+  void endRandomTask(std::mt19937 &generator, endpoints::TaskEnd end) {
     if (Tasks.empty())
       return;
     auto it = Tasks.begin();
-    std::advance(
-        it, std::uniform_int_distribution<size_t>(0, Tasks.size() - 1)(gen));
+    std::advance(it, std::uniform_int_distribution<size_t>(0, Tasks.size() - 1)(
+                         generator));
     const auto key = it->first;
     endTask(key.first, key.second, end);
   }
@@ -102,10 +103,10 @@
   }
 
   void setProfile(core::Profile p) {
-    p.Version = ++Site.Version;
-    Site = p;
-    Sched.onProfile(Site);
-    settle();
+    p.Version = ++SiteProfile.Version;
+    SiteProfile = p;
+    Sched.onProfile(SiteProfile);
+    runActions();
   }
 
   bool isRunning(const std::string &gang) const {
@@ -113,17 +114,17 @@
                        [&](const auto &t) { return t.second.Gang == gang; });
   }
 
-  void settle() {
+  void runActions() {
     Sched.tick(Now);
     for (auto actions = Sched.takeActions(); !actions.empty();
          actions = Sched.takeActions())
       for (const scheduler::Action &action : actions)
-        std::visit([this](const auto &a) { act(a); }, action);
-    check();
+        std::visit([this](const auto &a) { carryOut(a); }, action);
+    checkInvariants();
   }
 
   GangScheduler Sched;
-  core::Profile Site;
+  core::Profile SiteProfile;
   absl::Time Now = absl::UnixEpoch();
   std::map<std::string, std::vector<core::JobAnswer>> Answers;
   std::set<std::string> EverStarted;
@@ -157,8 +158,9 @@
     }
   }
 
-  void act(const scheduler::StartGang &a) {
-    // A gang is started on all its workers at once, never twice at a time.
+  void carryOut(const scheduler::StartGang &a) {
+    // A gang must be started on all its workers at once, and never while it
+    // is running.
     EXPECT_FALSE(isRunning(a.Request.GangId)) << a.Run;
     const core::Shape &shape = a.Request.Job.GangShape;
     ASSERT_EQ(static_cast<int>(a.Workers.size()), shape.Members);
@@ -177,22 +179,22 @@
                            shape.PowerWattsPerMember};
     }
   }
-  void act(const scheduler::StopGang &a) {
+  void carryOut(const scheduler::StopGang &a) {
     for (const auto &[worker, members] : a.Members)
       for (int m : members)
-        Stops[a.Run].insert(m);
+        PendingStops[a.Run].insert(m);
   }
-  void act(const scheduler::AnswerCaller &a) {
+  void carryOut(const scheduler::AnswerCaller &a) {
     Answers[a.Request.GangId].push_back(a.Answer);
     if (a.Answer.Result == Outcome::NotRun) {
       EXPECT_EQ(EverStarted.count(a.Request.GangId), 0u)
-          << "answered not run, but it ran";
+          << "answered \"not run\" although the gang ran";
     }
   }
-  void act(const scheduler::ForgetRun &) {}
-  void act(const scheduler::Note &) {}
+  void carryOut(const scheduler::ForgetRun &) {}
+  void carryOut(const scheduler::Note &) {}
 
-  void check() {
+  void checkInvariants() {
     std::map<std::string, int> used;
     int64_t watts = 0;
     for (const auto &[key, task] : Tasks) {
@@ -201,23 +203,24 @@
     }
     for (const auto &[worker, n] : used)
       EXPECT_LE(n, WorkerAccelerators) << worker;
-    // After the cap was lowered, the gangs over it are being stopped.
-    bool stopping = std::any_of(Stops.begin(), Stops.end(), [](const auto &s) {
-      return !s.second.empty();
-    });
-    if (!stopping) {
-      EXPECT_LE(watts, Site.PowerCapWatts);
+    // After the power cap has been lowered, the total may exceed it while gangs
+    // are being stopped.
+    bool isStopping =
+        std::any_of(PendingStops.begin(), PendingStops.end(),
+                    [](const auto &s) { return !s.second.empty(); });
+    if (!isStopping) {
+      EXPECT_LE(watts, SiteProfile.PowerCapWatts);
     }
     for (const auto &[gang, answers] : Answers)
-      EXPECT_EQ(answers.size(), 1u) << gang << " was answered twice";
+      EXPECT_EQ(answers.size(), 1u) << gang << " was not answered exactly once";
   }
 
   std::map<std::string, Agent> Agents;
   std::map<std::pair<std::string, int>, TaskInfo> Tasks;
-  std::map<std::string, std::set<int>> Stops;
+  std::map<std::string, std::set<int>> PendingStops;
 };
 
-core::Profile siteProfile(int64_t cap = 100000) {
+core::Profile makeProfile(int64_t cap = 100000) {
   return core::Profile{
       "site", 1, cap, {{"big", 24, 8}, {"mid", 16, 4}, {"small", 8, 1}}};
 }
@@ -231,90 +234,92 @@
 class RandomDays : public testing::TestWithParam<RandomCase> {};
 
 // Random submissions, ends, failures, lost and returning workers and profile
-// changes, through both placers. After every step: no worker holds more than
-// it has, no gang runs in part or twice, the power cap holds, every caller is
-// answered at most once and "not run" means that it did not. While all workers
-// are there, every guarantee can be reclaimed.
-TEST_P(RandomDays, WhatMustAlwaysHold) {
-  std::mt19937 gen(GetParam().Seed);
-  auto pick = [&](int lo, int hi) {
-    return std::uniform_int_distribution<int>(lo, hi)(gen);
+// changes, with both placers. After every step: no worker runs more than its
+// accelerators allow, no gang runs partially or twice, the power cap is kept,
+// every caller is answered at most once, and a job that was answered "not run"
+// has not run. While all workers are up, every guarantee can be reclaimed.
+TEST_P(RandomDays, InvariantsHoldAfterEveryStep) {
+  std::mt19937 generator(GetParam().Seed);
+  auto randomInt = [&](int lo, int hi) {
+    return std::uniform_int_distribution<int>(lo, hi)(generator);
   };
   const std::vector<std::string> orgs = {"big", "mid", "small", "guest"};
-  Bench bench(GetParam().Placer, 9, siteProfile());
-  std::set<std::string> down;
-  // Raising a guarantee over room that non-idempotent gangs hold leaves a
-  // deficit until they end; no decision of the scheduler may enlarge it.
+  SiteSimulation site(GetParam().Placer, 9, makeProfile());
+  std::set<std::string> downWorkers;
+  // A guarantee that is raised while non-idempotent gangs occupy the capacity
+  // leaves a deficit until they end; no decision of the scheduler may increase
+  // this deficit.
   int allowedDeficit = 0;
-  bool raised = false;
+  bool profileChanged = false;
   for (int i = 0; i < 1500; ++i) {
-    const int what = pick(0, 99);
-    if (what < 40) {
-      const int width = 1 << pick(0, 3);
-      auto job = makeJob(orgs[static_cast<size_t>(pick(0, 3))],
-                         {pick(1, 4), width, width * pick(100, 300)},
-                         pick(0, 2) == 0 ? JobClass::Urgent : JobClass::Batch,
-                         pick(0, 3) != 0);
-      bench.submit(job);
-    } else if (what < 70) {
-      bench.endSome(gen, endpoints::TaskEnd::Done);
-    } else if (what < 75) {
-      bench.endSome(gen, endpoints::TaskEnd::Failed);
-    } else if (what < 85) {
-      bench.finishStops();
-    } else if (what < 95) {
-      bench.step(absl::Milliseconds(pick(50, 900)));
-    } else if (what < 97) {
-      auto p = siteProfile(pick(8000, 30000));
-      p.Guarantees[0].Accelerators = 8 * pick(1, 3);
-      bench.setProfile(p);
-      raised = true;
-    } else if (down.empty()) {
-      const std::string id = "w" + std::to_string(pick(0, 8));
-      down.insert(id);
-      bench.loseWorker(id);
+    const int event = randomInt(0, 99);
+    if (event < 40) {
+      const int width = 1 << randomInt(0, 3);
+      auto job =
+          makeJob(orgs[static_cast<size_t>(randomInt(0, 3))],
+                  {randomInt(1, 4), width, width * randomInt(100, 300)},
+                  randomInt(0, 2) == 0 ? JobClass::Urgent : JobClass::Batch,
+                  randomInt(0, 3) != 0);
+      site.submit(job);
+    } else if (event < 70) {
+      site.endRandomTask(generator, endpoints::TaskEnd::Done);
+    } else if (event < 75) {
+      site.endRandomTask(generator, endpoints::TaskEnd::Failed);
+    } else if (event < 85) {
+      site.finishStops();
+    } else if (event < 95) {
+      site.advanceTime(absl::Milliseconds(randomInt(50, 900)));
+    } else if (event < 97) {
+      auto p = makeProfile(randomInt(8000, 30000));
+      p.Guarantees[0].Accelerators = 8 * randomInt(1, 3);
+      site.setProfile(p);
+      profileChanged = true;
+    } else if (downWorkers.empty()) {
+      const std::string id = "w" + std::to_string(randomInt(0, 8));
+      downWorkers.insert(id);
+      site.loseWorker(id);
     } else {
-      bench.returnWorker(*down.begin());
-      bench.step(absl::Milliseconds(10));
-      down.clear();
+      site.returnWorker(*downWorkers.begin());
+      site.advanceTime(absl::Milliseconds(10));
+      downWorkers.clear();
     }
-    if (!down.empty())
+    if (!downWorkers.empty())
       continue;
-    const int deficit = bench.Sched.state().guaranteeDeficit();
-    if (!std::exchange(raised, false)) {
+    const int deficit = site.Sched.state().guaranteeDeficit();
+    if (!std::exchange(profileChanged, false)) {
       ASSERT_LE(deficit, allowedDeficit) << "step " << i;
     }
     allowedDeficit = deficit;
   }
 }
 
-// A random day ends with the site full of whatever came. Then each guaranteed
-// organisation claims all of its guarantee, in its shape, with urgent gangs:
-// once the gangs it displaces have stopped, all of it must be running.
-TEST_P(RandomDays, FullSiteGivesEveryGuaranteeBack) {
-  std::mt19937 gen(GetParam().Seed + 1000);
-  auto pick = [&](int lo, int hi) {
-    return std::uniform_int_distribution<int>(lo, hi)(gen);
+// Random gangs of a guest fill the site. Then each guaranteed organisation
+// submits one urgent gang of the shape and size of its whole guarantee: all of
+// these gangs must run once the preempted gangs have stopped.
+TEST_P(RandomDays, EveryGuaranteeIsReclaimedFromAFullSite) {
+  std::mt19937 generator(GetParam().Seed + 1000);
+  auto randomInt = [&](int lo, int hi) {
+    return std::uniform_int_distribution<int>(lo, hi)(generator);
   };
-  Bench bench(GetParam().Placer, 9, siteProfile(10000000));
+  SiteSimulation site(GetParam().Placer, 9, makeProfile(10000000));
   for (int i = 0; i < 300; ++i) {
-    const int width = 1 << pick(0, 3);
-    bench.submit(makeJob("guest", {pick(1, 3), width, 100}, JobClass::Batch,
-                         pick(0, 2) != 0));
-    if (pick(0, 3) == 0)
-      bench.endSome(gen, endpoints::TaskEnd::Done);
+    const int width = 1 << randomInt(0, 3);
+    site.submit(makeJob("guest", {randomInt(1, 3), width, 100}, JobClass::Batch,
+                        randomInt(0, 2) != 0));
+    if (randomInt(0, 3) == 0)
+      site.endRandomTask(generator, endpoints::TaskEnd::Done);
   }
   std::vector<std::string> claims;
-  for (const core::Guarantee &g : bench.Site.Guarantees)
+  for (const core::Guarantee &g : site.SiteProfile.Guarantees)
     claims.push_back(
-        bench.submit(makeJob(g.Organisation,
-                             {g.Accelerators / g.AcceleratorsPerMember,
-                              g.AcceleratorsPerMember, 100},
-                             JobClass::Urgent)));
+        site.submit(makeJob(g.Organisation,
+                            {g.Accelerators / g.AcceleratorsPerMember,
+                             g.AcceleratorsPerMember, 100},
+                            JobClass::Urgent)));
   for (int i = 0; i < 3; ++i)
-    bench.finishStops();
+    site.finishStops();
   for (const std::string &gang : claims)
-    EXPECT_TRUE(bench.isRunning(gang)) << gang;
+    EXPECT_TRUE(site.isRunning(gang)) << gang;
 }
 
 INSTANTIATE_TEST_SUITE_P(
