--- a/tests/auto/adapter/platformstub.h
+++ b/tests/auto/adapter/platformstub.h
@@ -13,11 +13,12 @@
 
 namespace oriolebay::adapter {
 
-/// A peer on loopback that gives one answer to every call and keeps what it was
-/// asked, and the loop and client that calls to it need.
+/// An HTTP peer on loopback that gives the same answer to every call and
+/// records the last request, with the event loop and the client that calls to
+/// it need.
 class PlatformStub {
 public:
-  /// Without an answer nothing listens at the address.
+  /// If \p answer is empty, nothing listens at the address.
   explicit PlatformStub(std::optional<http::HttpResponse> answer) {
     http::AsyncServerOptions options;
     options.KeptHeaders = {"Oriolebay-Expect-Instance"};
@@ -26,7 +27,7 @@
                                 const http::AsyncServer::Respond &respond) {
           {
             std::lock_guard<std::mutex> lock(Mu);
-            Asked = request;
+            LastRequest = request;
           }
           if (answer)
             respond(*answer);
@@ -34,26 +35,26 @@
     Address = "127.0.0.1:" + std::to_string(Server->port());
     if (!answer)
       Server.reset();
-    Runner = std::thread([this] { Loop.run(); });
+    LoopThread = std::thread([this] { Loop.run(); });
   }
   ~PlatformStub() {
     Loop.stop();
-    Runner.join();
+    LoopThread.join();
   }
   PlatformStub(const PlatformStub &) = delete;
   PlatformStub &operator=(const PlatformStub &) = delete;
 
-  /// Makes a call, which gets a hook for its outcome, and waits for that.
+  /// Runs \p call with a callback for its result and waits for this result.
   template <class T>
-  T outcome(const std::function<void(std::function<void(T)>)> &call) {
+  T callAndWait(const std::function<void(std::function<void(T)>)> &call) {
     auto promise = std::make_shared<std::promise<T>>();
     std::future<T> future = promise->get_future();
     call([promise](T value) { promise->set_value(std::move(value)); });
     return future.get();
   }
-  http::HttpRequest asked() {
+  http::HttpRequest lastRequest() {
     std::lock_guard<std::mutex> lock(Mu);
-    return Asked;
+    return LastRequest;
   }
 
   utils::EventLoop Loop{64};
@@ -62,9 +63,9 @@
 
 private:
   std::mutex Mu;
-  http::HttpRequest Asked;
+  http::HttpRequest LastRequest;
   std::unique_ptr<http::AsyncServer> Server;
-  std::thread Runner;
+  std::thread LoopThread;
 };
 
 } // namespace oriolebay::adapter
--- a/tests/auto/adapter/tst_callerform.cpp
+++ b/tests/auto/adapter/tst_callerform.cpp
@@ -11,15 +11,15 @@
 struct JobCase {
   const char *Name;
   std::string Body;
-  bool Good;
+  bool IsValid;
 };
 
 void PrintTo(const JobCase &c, std::ostream *out) { *out << c.Name; }
 
 class JobBodies : public ::testing::TestWithParam<JobCase> {};
 
-TEST_P(JobBodies, AreReadOrRefusedWithTheRemedy) {
-  const bool read = utils::handle<bool>(
+TEST_P(JobBodies, AreParsedOrRejectedWithARemedy) {
+  const bool isAccepted = utils::handle<bool>(
       [&]() -> utils::Result<bool> {
         BOOST_LEAF_AUTO(spec, readJob(Id, GetParam().Body));
         EXPECT_EQ(spec.Id, Id);
@@ -30,11 +30,11 @@
         EXPECT_NE(e.text().find("remedy"), std::string::npos) << e.text();
         return false;
       });
-  EXPECT_EQ(read, GetParam().Good);
+  EXPECT_EQ(isAccepted, GetParam().IsValid);
 }
 
 const JobCase JobCases[] = {
-    {"smallest", R"({"spec":"x","steps":[{"cpu":100}]})", true},
+    {"minimal", R"({"spec":"x","steps":[{"cpu":100}]})", true},
     {"unknown_field", R"({"spec":"x","steps":[{"cpu":100}],"colour":1})",
      false},
     {"unknown_step_field", R"({"spec":"x","steps":[{"cpus":100}]})", false},
@@ -51,7 +51,7 @@
 INSTANTIATE_TEST_SUITE_P(Table, JobBodies, ::testing::ValuesIn(JobCases),
                          [](const auto &info) { return info.param.Name; });
 
-TEST(JobForm, StepKeepsWhatItsFieldsMean) {
+TEST(CallerAdapter, ParsesEveryFieldOfAStep) {
   const core::JobSpec spec = utils::handle<core::JobSpec>(
       [&]() -> utils::Result<core::JobSpec> {
         return readJob(Id, R"({"spec":"x","steps":[{"cpu":1},{"count":3,
@@ -78,15 +78,15 @@
 struct ConfigCase {
   const char *Name;
   const char *Value;
-  bool Good;
+  bool IsValid;
 };
 
 void PrintTo(const ConfigCase &c, std::ostream *out) { *out << c.Name; }
 
 class Configs : public ::testing::TestWithParam<ConfigCase> {};
 
-TEST_P(Configs, AreReadOrRefused) {
-  const bool read = utils::handle<bool>(
+TEST_P(Configs, AreParsedOrRejected) {
+  const bool isAccepted = utils::handle<bool>(
       [&]() -> utils::Result<bool> {
         BOOST_LEAF_AUTO(config, readConfig(GetParam().Value));
         EXPECT_EQ(config.Version, 3);
@@ -99,11 +99,11 @@
         EXPECT_EQ(e.Kind, utils::ErrorKind::BadMessage);
         return false;
       });
-  EXPECT_EQ(read, GetParam().Good);
+  EXPECT_EQ(isAccepted, GetParam().IsValid);
 }
 
 const ConfigCase ConfigCases[] = {
-    {"whole",
+    {"complete",
      R"({"version":3,"routes":[{"name":"q","host":"h","prefix":"/p/",
          "service":"s","priority":1,"stretch":1.5,"targetLatencyMs":250}],
          "tenants":[{"name":"o","apiKeys":["k"],"guaranteed":{"gpu":16}}]})",
--- a/tests/auto/adapter/tst_storeform.cpp
+++ b/tests/auto/adapter/tst_storeform.cpp
@@ -23,12 +23,12 @@
 
 class StoreAnswers : public ::testing::TestWithParam<AnswerCase> {};
 
-// Whether a write may have been made decides whether it is made again. An
-// answer that says nothing of that must never count as "not done".
-TEST_P(StoreAnswers, AreReadForWhatTheySay) {
+// Whether a write may have been applied decides whether it is retried. An
+// answer that leaves this open must never be reported as "not applied".
+TEST_P(StoreAnswers, MapToTheExpectedStatus) {
   PlatformStub stub(GetParam().Answer);
   const platform::Store store = makeStore(stub.Loop, stub.Client, stub.Address);
-  const auto reply = stub.outcome<StoreReply<StoreTxnReply>>(
+  const auto reply = stub.callAndWait<StoreReply<StoreTxnReply>>(
       [&](std::function<void(StoreReply<StoreTxnReply>)> done) {
         platform::StoreTxn txn;
         txn.Puts.push_back({"k", "v", 0});
@@ -39,7 +39,7 @@
 }
 
 const AnswerCase AnswerCases[] = {
-    {"made", http::HttpResponse{200, R"({"revision":7})"}, StoreStatus::Ok},
+    {"applied", http::HttpResponse{200, R"({"revision":7})"}, StoreStatus::Ok},
     {"condition_failed", http::HttpResponse{412, R"({"items":[]})"},
      StoreStatus::Conflict},
     {"too_many_calls", http::HttpResponse{429, "{}"}, StoreStatus::Refused},
@@ -50,16 +50,16 @@
     {"no_json", http::HttpResponse{200, "<html>"}, StoreStatus::Unknown},
     {"wrong_type", http::HttpResponse{200, R"({"revision":"x"})"},
      StoreStatus::Unknown},
-    {"nobody_there", std::nullopt, StoreStatus::Refused},
+    {"nothing_listens", std::nullopt, StoreStatus::Refused},
 };
 
 INSTANTIATE_TEST_SUITE_P(Table, StoreAnswers, ::testing::ValuesIn(AnswerCases),
                          [](const auto &info) { return info.param.Name; });
 
-TEST(StoreForm, TransactionCarriesConditionsWritesAndLeases) {
+TEST(StoreAdapter, TransactionCarriesConditionsWritesAndLeases) {
   PlatformStub stub(http::HttpResponse{200, R"({"revision":7})"});
   const platform::Store store = makeStore(stub.Loop, stub.Client, stub.Address);
-  const auto reply = stub.outcome<StoreReply<StoreTxnReply>>(
+  const auto reply = stub.callAndWait<StoreReply<StoreTxnReply>>(
       [&](std::function<void(StoreReply<StoreTxnReply>)> done) {
         platform::StoreTxn txn;
         txn.Expected.push_back({"a", 3});
@@ -68,19 +68,19 @@
         store.Transact(txn, done);
       });
   EXPECT_EQ(reply.Value.Revision, 7);
-  EXPECT_EQ(stub.asked().Method, "POST");
-  EXPECT_EQ(json::parse(stub.asked().Body),
+  EXPECT_EQ(stub.lastRequest().Method, "POST");
+  EXPECT_EQ(json::parse(stub.lastRequest().Body),
             json::parse(R"({"expected":[{"key":"a","revision":3}],
                             "puts":[{"key":"b","lease":9,"value":"dGV4dA=="}],
                             "remove":["c"]})"));
 }
 
-TEST(StoreForm, ReadsAKey) {
+TEST(StoreAdapter, GetReturnsValueRevisionsAndLease) {
   PlatformStub stub(http::HttpResponse{
       200,
       R"({"key":"k","value":"dGV4dA==","created":4,"revision":6,"lease":9})"});
   const platform::Store store = makeStore(stub.Loop, stub.Client, stub.Address);
-  const auto reply = stub.outcome<StoreReply<KeyValue>>(
+  const auto reply = stub.callAndWait<StoreReply<KeyValue>>(
       [&](std::function<void(StoreReply<KeyValue>)> done) {
         store.Get("a key", done);
       });
--- a/tests/auto/adapter/tst_workerform.cpp
+++ b/tests/auto/adapter/tst_workerform.cpp
@@ -14,7 +14,7 @@
 using endpoints::RefusalReason;
 using nlohmann::json;
 
-endpoints::StartCall aStart() {
+endpoints::StartCall makeStartCall() {
   endpoints::StartCall call;
   call.Life = {"life-1", 1000};
   call.Order.Task = "j.0.0.0";
@@ -25,10 +25,10 @@
   return call;
 }
 
-CallOutcome start(PlatformStub &stub, const endpoints::StartCall &call) {
+CallOutcome sendStart(PlatformStub &stub, const endpoints::StartCall &call) {
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, stub.Address);
-  return stub.outcome<CallOutcome>(
+  return stub.callAndWait<CallOutcome>(
       [&](std::function<void(CallOutcome)> done) { calls.Start(call, done); });
 }
 
@@ -44,11 +44,11 @@
 class StartAnswers : public ::testing::TestWithParam<OutcomeCase> {};
 
 // Whether a start may have been carried out decides whether the task may start
-// elsewhere. An answer with a field of the wrong type ended the whole agent,
-// and with it the tasks that it kept alive.
-TEST_P(StartAnswers, AreReadForWhatTheySay) {
+// elsewhere. Guards also against an answer with a field of the wrong type that
+// terminates the agent, and with it the tasks that it keeps alive.
+TEST_P(StartAnswers, MapToTheExpectedOutcome) {
   PlatformStub stub(GetParam().Answer);
-  const CallOutcome outcome = start(stub, aStart());
+  const CallOutcome outcome = sendStart(stub, makeStartCall());
   EXPECT_EQ(outcome.Status, GetParam().Status) << outcome.Detail;
   EXPECT_EQ(outcome.Reason, GetParam().Reason);
 }
@@ -61,13 +61,13 @@
      CallStatus::Refused, RefusalReason::OldRun},
     {"too_late", http::HttpResponse{409, R"({"reason":"late"})"},
      CallStatus::Refused, RefusalReason::TooLate},
-    {"no_room", http::HttpResponse{409, R"({"reason":"room"})"},
+    {"no_free_capacity", http::HttpResponse{409, R"({"reason":"room"})"},
      CallStatus::Refused, RefusalReason::NoRoom},
     {"ticket", http::HttpResponse{409, R"({"reason":"ticket"})"},
      CallStatus::Refused, RefusalReason::Ticket},
     {"reason_unknown", http::HttpResponse{409, R"({"reason":"new one"})"},
      CallStatus::Refused},
-    {"other_life", http::HttpResponse{421, "{}"}, CallStatus::OtherLife},
+    {"other_incarnation", http::HttpResponse{421, "{}"}, CallStatus::OtherLife},
     {"busy", http::HttpResponse{503, "{}"}, CallStatus::Busy},
     {"server_error", http::HttpResponse{500, "{}"}, CallStatus::NoAnswer},
     {"no_json", http::HttpResponse{200, "<html>"}, CallStatus::Ok},
@@ -75,56 +75,57 @@
      CallStatus::Ok},
     {"reason_of_wrong_type", http::HttpResponse{409, R"({"reason":[1]})"},
      CallStatus::Refused},
-    {"nobody_there", std::nullopt, CallStatus::NotThere},
+    {"nothing_listens", std::nullopt, CallStatus::NotThere},
 };
 
 INSTANTIATE_TEST_SUITE_P(Table, StartAnswers, ::testing::ValuesIn(OutcomeCases),
                          [](const auto &info) { return info.param.Name; });
 
-TEST(WorkerForm, StartNamesLifeRunAndFencingToken) {
+TEST(WorkerAdapter, StartNamesIncarnationRunAndFencingToken) {
   PlatformStub stub(http::HttpResponse{200, R"({"clockMs":5})"});
-  EXPECT_EQ(start(stub, aStart()).ClockMs, 5);
-  EXPECT_EQ(stub.asked().header("Oriolebay-Expect-Instance"), "life-1");
-  EXPECT_EQ(json::parse(stub.asked().Body),
+  EXPECT_EQ(sendStart(stub, makeStartCall()).ClockMs, 5);
+  EXPECT_EQ(stub.lastRequest().header("Oriolebay-Expect-Instance"), "life-1");
+  EXPECT_EQ(json::parse(stub.lastRequest().Body),
             json::parse(R"({"task":"j.0.0.0","run":2,"spec":"spec",
                             "untilMs":5000,"fencingToken":11})"));
 }
 
-// Guards against a start that was carried out and is taken for one that never
-// came, as its worker crashed before it answered.
-TEST(WorkerForm, StartThatItsWorkerTookBeforeItVanishedMayHaveBegun) {
+// Guards against a start that was carried out but is reported as never
+// received, because its worker crashed before it answered.
+TEST(WorkerAdapter, StartIsUnansweredWhenTheWorkerCrashesAfterReceivingIt) {
   PlatformStub stub(std::nullopt);
   VanishingPeer worker(R"({"clockMs":9,"running":[],"ended":[]})");
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, worker.Address);
-  const auto look = stub.outcome<endpoints::HoldReply>(
+  const auto keepAliveReply = stub.callAndWait<endpoints::HoldReply>(
       [&](std::function<void(endpoints::HoldReply)> done) {
         calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
       });
-  ASSERT_EQ(look.Outcome.Status, CallStatus::Ok);
+  ASSERT_EQ(keepAliveReply.Outcome.Status, CallStatus::Ok);
   const auto outcome =
-      stub.outcome<CallOutcome>([&](std::function<void(CallOutcome)> done) {
-        calls.Start(aStart(), done);
+      stub.callAndWait<CallOutcome>([&](std::function<void(CallOutcome)> done) {
+        calls.Start(makeStartCall(), done);
       });
   EXPECT_EQ(outcome.Status, CallStatus::NoAnswer) << outcome.Detail;
 }
 
-// Guards against a crash that is noticed one look later than it shows.
-TEST(WorkerForm, LookThatFindsNobodyListeningSaysSo) {
+// Guards against a crash that is detected one poll later than possible.
+TEST(WorkerAdapter, KeepAliveCallReportsThatNothingListens) {
   PlatformStub stub(std::nullopt);
   VanishingPeer worker(R"({"clockMs":9,"running":[],"ended":[]})");
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, worker.Address);
-  endpoints::HoldReply look;
+  endpoints::HoldReply keepAliveReply;
   for (int n = 0; n < 2; ++n)
-    look = stub.outcome<endpoints::HoldReply>(
+    keepAliveReply = stub.callAndWait<endpoints::HoldReply>(
         [&](std::function<void(endpoints::HoldReply)> done) {
           calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
         });
-  EXPECT_EQ(look.Outcome.Status, CallStatus::NotThere) << look.Outcome.Detail;
+  EXPECT_EQ(keepAliveReply.Outcome.Status, CallStatus::NotThere)
+      << keepAliveReply.Outcome.Detail;
 }
 
-struct HoldCase {
+struct KeepAliveCase {
   const char *Name;
   const char *Body;
   CallStatus Status;
@@ -132,17 +133,17 @@
   size_t Ended;
 };
 
-void PrintTo(const HoldCase &c, std::ostream *out) { *out << c.Name; }
+void PrintTo(const KeepAliveCase &c, std::ostream *out) { *out << c.Name; }
 
-class HoldAnswers : public ::testing::TestWithParam<HoldCase> {};
+class KeepAliveAnswers : public ::testing::TestWithParam<KeepAliveCase> {};
 
-// A list that cannot be read must not pass for one without tasks: the leader
-// would start them elsewhere.
-TEST_P(HoldAnswers, AreWholeOrNone) {
+// A task list that cannot be parsed must not be reported as an empty list: the
+// leader would start the worker's tasks elsewhere.
+TEST_P(KeepAliveAnswers, AreParsedCompletelyOrRejected) {
   PlatformStub stub(http::HttpResponse{200, GetParam().Body});
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, stub.Address);
-  const auto reply = stub.outcome<endpoints::HoldReply>(
+  const auto reply = stub.callAndWait<endpoints::HoldReply>(
       [&](std::function<void(endpoints::HoldReply)> done) {
         calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
       });
@@ -151,7 +152,7 @@
   EXPECT_EQ(reply.Ended.size(), GetParam().Ended);
 }
 
-const HoldCase HoldCases[] = {
+const KeepAliveCase KeepAliveCases[] = {
     {"lists",
      R"({"clockMs":9,"running":[["j.0.0.0",2,"s",41.5,0]],
          "ended":[[1,"j.0.0.1",1,"done",""],[2,"j.0.0.2",1,"failed",""]]})",
@@ -166,40 +167,41 @@
     {"no_lists", R"({"clockMs":9})", CallStatus::NoAnswer, 0, 0},
 };
 
-INSTANTIATE_TEST_SUITE_P(Table, HoldAnswers, ::testing::ValuesIn(HoldCases),
+INSTANTIATE_TEST_SUITE_P(Table, KeepAliveAnswers,
+                         ::testing::ValuesIn(KeepAliveCases),
                          [](const auto &info) { return info.param.Name; });
 
-// Guards against lists of a worker that has started again under its id, which
-// are taken for those of the life before.
-TEST(WorkerForm, ListSaysWhenItsWorkerWasBorn) {
+// Guards against task lists of a restarted worker that are attributed to the
+// previous incarnation under the same id.
+TEST(WorkerAdapter, KeepAliveReplyCarriesTheStartTimeOfTheWorker) {
   PlatformStub stub(http::HttpResponse{
       200, R"({"clockMs":9,"born":1791000000000,"running":[],"ended":[]})"});
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, stub.Address);
-  const auto reply = stub.outcome<endpoints::HoldReply>(
+  const auto reply = stub.callAndWait<endpoints::HoldReply>(
       [&](std::function<void(endpoints::HoldReply)> done) {
         calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
       });
   EXPECT_EQ(reply.Outcome.BornMs, 1791000000000);
 }
 
-struct BeatCase {
+struct HeartbeatCase {
   const char *Name;
   const char *Body;
   int Status;
 };
 
-void PrintTo(const BeatCase &c, std::ostream *out) { *out << c.Name; }
+void PrintTo(const HeartbeatCase &c, std::ostream *out) { *out << c.Name; }
 
-class Heartbeats : public ::testing::TestWithParam<BeatCase> {};
+class Heartbeats : public ::testing::TestWithParam<HeartbeatCase> {};
 
-TEST_P(Heartbeats, AreTakenOrRefused) {
+TEST_P(Heartbeats, AreAcceptedOrRejected) {
   PlatformStub stub(std::nullopt);
-  std::optional<endpoints::Heartbeat> heard;
+  std::optional<endpoints::Heartbeat> received;
   HeartbeatFront front(
       stub.Loop, "127.0.0.1", 0,
-      [&heard](const endpoints::Heartbeat &b) {
-        heard = b;
+      [&received](const endpoints::Heartbeat &b) {
+        received = b;
         return true;
       },
       [](const endpoints::WorkerLife &) {});
@@ -209,68 +211,72 @@
           "/-/Instances.Heartbeat/life-1",
       GetParam().Body);
   EXPECT_EQ(result.Status, GetParam().Status);
-  EXPECT_EQ(heard.has_value(), GetParam().Status == 200);
-  if (!heard)
+  EXPECT_EQ(received.has_value(), GetParam().Status == 200);
+  if (!received)
     return;
-  EXPECT_EQ(heard->Worker.Life,
+  EXPECT_EQ(received->Worker.Life,
             (endpoints::WorkerLife{"life-1", 1791000000000}));
-  EXPECT_EQ(heard->Worker.Rack, "r1-3");
-  EXPECT_EQ(heard->Worker.Capacity, (core::Resources{16000, 32768, 8}));
-  EXPECT_TRUE(heard->Worker.Draining);
-  EXPECT_EQ(heard->Worker.RemainingMs, 4500);
+  EXPECT_EQ(received->Worker.Rack, "r1-3");
+  EXPECT_EQ(received->Worker.Capacity, (core::Resources{16000, 32768, 8}));
+  EXPECT_TRUE(received->Worker.Draining);
+  EXPECT_EQ(received->Worker.RemainingMs, 4500);
 }
 
-const BeatCase BeatCases[] = {
-    {"whole",
+const HeartbeatCase HeartbeatCases[] = {
+    {"complete",
      R"({"service":"s","state":"draining","remainingMs":4500,"sequence":4,
          "born":1791000000000,
          "capacity":{"cpu":16000,"memMb":32768,"gpu":8},
          "labels":["a","r1-3"],"clockMs":482113})",
      200},
     {"no_service", R"({"state":"ready"})", 400},
-    {"born_of_wrong_type", R"({"service":"s","born":"x"})", 400},
+    {"start_time_of_wrong_type", R"({"service":"s","born":"x"})", 400},
     {"wrong_type", R"({"service":"s","sequence":"x"})", 400},
     {"no_json", "<html>", 400},
 };
 
-INSTANTIATE_TEST_SUITE_P(Table, Heartbeats, ::testing::ValuesIn(BeatCases),
+INSTANTIATE_TEST_SUITE_P(Table, Heartbeats, ::testing::ValuesIn(HeartbeatCases),
                          [](const auto &info) { return info.param.Name; });
 
-struct LeaveCase {
+struct DeregistrationCase {
   const char *Name;
   const char *Body;
-  int64_t BornMs;
+  int64_t StartTimeMs;
 };
 
-void PrintTo(const LeaveCase &c, std::ostream *out) { *out << c.Name; }
+void PrintTo(const DeregistrationCase &c, std::ostream *out) { *out << c.Name; }
 
-class Leaves : public ::testing::TestWithParam<LeaveCase> {};
+class Deregistrations : public ::testing::TestWithParam<DeregistrationCase> {};
 
-// Guards against a leave of an earlier life that is taken for the present
-// one's.
-TEST_P(Leaves, SayWhichLifeLeavesIfTheyCan) {
+// Guards against a deregistration of a previous incarnation that is attributed
+// to the current one.
+TEST_P(Deregistrations, NameTheIncarnationIfTheStartTimeIsGiven) {
   PlatformStub stub(std::nullopt);
-  std::optional<endpoints::WorkerLife> left;
+  std::optional<endpoints::WorkerLife> deregistered;
   HeartbeatFront front(
       stub.Loop, "127.0.0.1", 0,
       [](const endpoints::Heartbeat &) { return true; },
-      [&left](const endpoints::WorkerLife &life) { left = life; });
+      [&deregistered](const endpoints::WorkerLife &incarnation) {
+        deregistered = incarnation;
+      });
   const http::HttpResult result = http::HttpClient(2000).call(
       "POST",
       "http://127.0.0.1:" + std::to_string(front.port()) +
           "/-/Instances.Deregister/life-1",
       GetParam().Body);
   EXPECT_EQ(result.Status, 200);
-  EXPECT_EQ(left, (endpoints::WorkerLife{"life-1", GetParam().BornMs}));
+  EXPECT_EQ(deregistered,
+            (endpoints::WorkerLife{"life-1", GetParam().StartTimeMs}));
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table, Leaves,
-    ::testing::Values(LeaveCase{"born", R"({"born":1791000000000})",
-                                1791000000000},
-                      LeaveCase{"not_told", "{}", 0},
-                      LeaveCase{"wrong_type", R"({"born":"x"})", 0},
-                      LeaveCase{"no_json", "<html>", 0}),
+    Table, Deregistrations,
+    ::testing::Values(DeregistrationCase{"start_time",
+                                         R"({"born":1791000000000})",
+                                         1791000000000},
+                      DeregistrationCase{"no_start_time", "{}", 0},
+                      DeregistrationCase{"wrong_type", R"({"born":"x"})", 0},
+                      DeregistrationCase{"no_json", "<html>", 0}),
     [](const auto &test) { return std::string(test.param.Name); });
 
 } // namespace
--- a/tests/auto/adapter/vanishingpeer.h
+++ b/tests/auto/adapter/vanishingpeer.h
@@ -9,8 +9,9 @@
 
 namespace oriolebay::adapter {
 
-/// An HTTP peer on loopback that answers one call, takes the next one on the
-/// same connection, and is gone without a word: its process has ended.
+/// An HTTP peer on loopback that answers one call, reads the next one on the
+/// same connection and then closes the connection and the listening socket
+/// without an answer, like a peer whose process has ended.
 class VanishingPeer {
 public:
   explicit VanishingPeer(std::string firstBody)
@@ -24,9 +25,9 @@
     listen(Listener, 1);
     getsockname(Listener, reinterpret_cast<sockaddr *>(&address), &size);
     Address = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
-    Runner = std::thread([this] { serve(); });
+    ServerThread = std::thread([this] { serve(); });
   }
-  ~VanishingPeer() { Runner.join(); }
+  ~VanishingPeer() { ServerThread.join(); }
   VanishingPeer(const VanishingPeer &) = delete;
   VanishingPeer &operator=(const VanishingPeer &) = delete;
 
@@ -35,19 +36,20 @@
 private:
   void serve() const {
     const int connection = accept(Listener, nullptr, nullptr);
-    readCall(connection);
+    readRequest(connection);
     const std::string answer =
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
         "Content-Length: " +
         std::to_string(FirstBody.size()) + "\r\n\r\n" + FirstBody;
     send(connection, answer.data(), answer.size(), MSG_NOSIGNAL);
-    readCall(connection);
+    readRequest(connection);
     close(Listener);
     close(connection);
   }
 
-  // A whole call: its body is a JSON object, and these tests' calls nest none.
-  static void readCall(int connection) {
+  // Reads one complete request. The end of its body is recognised by the first
+  // closing brace, because the JSON bodies of these tests are not nested.
+  static void readRequest(int connection) {
     std::string text;
     char buf[1024];
     while (text.find('}') == std::string::npos) {
@@ -60,7 +62,7 @@
 
   const std::string FirstBody;
   const int Listener;
-  std::thread Runner;
+  std::thread ServerThread;
 };
 
 } // namespace oriolebay::adapter
