--- a/tests/auto/system/systemfixture.h
+++ b/tests/auto/system/systemfixture.h
@@ -52,9 +52,10 @@
   return none;
 }
 
-/// One urgent member of ovenmaker-a; tests change what they need.
-inline core::JobRequest single(const std::string &id, bool idempotent,
-                               int accelerators = 1, int runMs = 20) {
+/// Returns an urgent job of ovenmaker-a with one member. Tests change the
+/// fields that matter to them.
+inline core::JobRequest singleMemberJob(const std::string &id, bool idempotent,
+                                        int accelerators = 1, int runMs = 20) {
   core::JobRequest j;
   j.Id = id;
   j.Organisation = "ovenmaker-a";
@@ -68,8 +69,9 @@
   return j;
 }
 
-/// Four workers of 8 accelerators in two racks with the stand-ins, and the
-/// number of entries given. Waits are for conditions, never for a time.
+/// Runs four agents for workers of 8 accelerators in two racks, the given
+/// number of entries, and stand-ins for the store and the back end. Tests wait
+/// for conditions, never for a fixed time.
 class System : public testing::Test {
 protected:
   explicit System(int entries = 1) : EntryCount(entries) {}
@@ -91,7 +93,7 @@
     waitUntil([&] { return leader() >= 0; });
   }
   void TearDown() override {
-    // A stopped process cannot take SIGTERM.
+    // A process stopped by SIGSTOP does not handle SIGTERM.
     for (size_t i = 0; i < static_cast<size_t>(WorkerCount); ++i)
       kill(Cluster->agentPid(i), SIGCONT);
     for (int i = 0; i < Cluster->entries(); ++i)
@@ -108,7 +110,8 @@
     return getJson("http://127.0.0.1:" +
                    std::to_string(Cluster->httpPort(entry)) + "/v1/stats");
   }
-  /// The entry that leads and sees every worker and the profile; -1 for none.
+  /// Returns the index of the entry that leads and knows all workers and the
+  /// profile, or -1 if there is none.
   int leader(int workers = WorkerCount) const {
     for (int i = 0; i < Cluster->entries(); ++i) {
       const json s = stats(i);
@@ -119,20 +122,21 @@
     return -1;
   }
   json backend() const { return getJson(Cluster->backendUrl() + "/stats"); }
-  int runsOf(const std::string &task) const {
+  int runCount(const std::string &task) const {
     return backend().value("runs", json::object()).value(task, 0);
   }
-  /// Whether a process has logged an event of this name.
+  /// Returns whether the process has logged an event with this name.
   bool agentLogHas(size_t i, const std::string &event) const {
     return logHas("/agent-w" + std::to_string(i) + ".log", event);
   }
   bool entryLogHas(const std::string &event, int entry = 0) const {
     return logHas("/entry-" + std::to_string(entry) + ".log", event);
   }
-  void storeFault(const json &fault) const {
+  void injectStoreFault(const json &fault) const {
     postJson(Cluster->storeUrl() + "/fault", fault);
   }
 
+  /// Returns whether the log file contains the event name in quotes.
   bool logHas(const std::string &file, const std::string &event) const {
     std::ifstream in(Cluster->workDir() + file);
     const std::string text((std::istreambuf_iterator<char>(in)), {});
--- a/tests/auto/system/tst_endtoend.cpp
+++ b/tests/auto/system/tst_endtoend.cpp
@@ -14,14 +14,15 @@
 namespace {
 
 using testing_system::Profile;
-using testing_system::single;
+using testing_system::singleMemberJob;
 using testing_system::submit;
 using testing_system::System;
 
-// Many callers at once, gangs and singles, some non-idempotent. Each must get
-// its own answer with every member's result, and the back end must have run
-// each member of each done job exactly once.
-TEST_F(System, EveryCallerGetsItsOwnWholeAnswer) {
+// Many callers submit at once: gangs and single tasks, some non-idempotent.
+// Each caller must get its own answer with every member's result. Each member
+// of a non-idempotent job must run exactly once; others run again only after a
+// preemption.
+TEST_F(System, EveryCallerGetsItsOwnCompleteAnswer) {
   json workload = {{"seed", 5},
                    {"jobs",
                     {{{"name", "gang"},
@@ -72,8 +73,9 @@
     expectedRuns += static_cast<size_t>(r.Job.Request.GangShape.Members);
   }
   EXPECT_EQ(runs.size(), expectedRuns);
-  // A gang beyond its organisation's guarantee may be stopped for another's
-  // and start again; without such a stop nothing runs twice.
+  // A gang beyond its organisation's guarantee may be preempted for another
+  // organisation's guarantee and start again; without a preemption nothing runs
+  // twice.
   constexpr int LargestGang = 2;
   EXPECT_LE(extraRuns, LargestGang * stats().value("gangs_stopped", 0));
 }
@@ -81,7 +83,7 @@
 enum class Fault { LostStoreReply, StoreOutage };
 
 struct FaultCase {
-  const char *Story;
+  const char *Description;
   Fault Kind;
   core::Outcome Expected;
   int ExpectedRuns;
@@ -93,71 +95,75 @@
 TEST_P(StoreFaults, NonIdempotentRequestRunsAtMostOnce) {
   const FaultCase &c = GetParam();
   if (c.Kind == Fault::LostStoreReply)
-    storeFault({{"lose_replies", 1}});
+    injectStoreFault({{"lose_replies", 1}});
   else
-    storeFault({{"outage", true}});
-  auto first = submit(Cluster->httpPort(), single("order-1", false));
-  EXPECT_EQ(first.Result, c.Expected) << c.Story << ": " << first.Detail;
+    injectStoreFault({{"outage", true}});
+  auto first = submit(Cluster->httpPort(), singleMemberJob("order-1", false));
+  EXPECT_EQ(first.Result, c.Expected) << c.Description << ": " << first.Detail;
   if (first.Result == core::Outcome::NotRun) {
-    EXPECT_GT(first.RetryAfterMs, 0) << c.Story;
+    EXPECT_GT(first.RetryAfterMs, 0) << c.Description;
   }
-  EXPECT_EQ(runsOf("order-1#0"), c.ExpectedRuns) << c.Story;
-  storeFault({{"outage", false}, {"lose_replies", 0}});
+  EXPECT_EQ(runCount("order-1#0"), c.ExpectedRuns) << c.Description;
+  injectStoreFault({{"outage", false}, {"lose_replies", 0}});
   if (c.Kind == Fault::LostStoreReply) {
-    // The caller retries with the same key: it gets the first answer and
-    // the request does not run again.
-    auto again = submit(Cluster->httpPort(), single("order-1", false));
-    EXPECT_EQ(again, first) << c.Story;
-    EXPECT_EQ(runsOf("order-1#0"), 1) << c.Story;
+    // The caller retries with the same idempotency key: it gets the first
+    // answer, and the request does not run again.
+    auto again = submit(Cluster->httpPort(), singleMemberJob("order-1", false));
+    EXPECT_EQ(again, first) << c.Description;
+    EXPECT_EQ(runCount("order-1#0"), 1) << c.Description;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table, StoreFaults,
     testing::Values(
-        // The store applies the create of the at-most-once record but its
-        // reply is lost. The entry retries, finds its own token in the record
-        // and runs the request once; it must not refuse it as a duplicate.
+        // The store creates the at-most-once record, but its reply is lost.
+        // The entry retries, finds its own token in the record and runs the
+        // request once; it must not refuse it as a duplicate.
         FaultCase{"lost reply", Fault::LostStoreReply, core::Outcome::Done, 1},
-        // The store is down when a reorder arrives. The entry cannot record
-        // it, so it must not run it and must say "not run" with a retry.
+        // The store is unavailable when a request arrives. The entry cannot
+        // record it, so it must not run it and must answer "not run" with a
+        // retry delay.
         FaultCase{"store outage", Fault::StoreOutage, core::Outcome::NotRun,
                   0}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Story);
+      return oriolebay::testnames::storyName(info.param.Description);
     });
 
-// An endpoint's host is being retired: its agent gets SIGTERM. The agent
-// tells the entry it is leaving and exits; afterwards no job is placed on
-// that worker, while the others keep taking work.
-TEST_F(System, LeavingEndpointGetsNoNewWork) {
+// The host of an endpoint is taken out of service: its agent gets SIGTERM,
+// notifies the entry that it drains, and exits. Afterwards no job may be placed
+// on its worker, while the other workers still get jobs.
+TEST_F(System, DrainingEndpointGetsNoNewJob) {
   kill(Cluster->agentPid(0), SIGTERM);
   waitpid(Cluster->agentPid(0), nullptr, 0);
   for (int i = 0; i < 6; ++i) {
-    auto a = submit(Cluster->httpPort(),
-                    single("after-leave-" + std::to_string(i), true, 8));
+    auto a =
+        submit(Cluster->httpPort(),
+               singleMemberJob("after-leave-" + std::to_string(i), true, 8));
     ASSERT_EQ(a.Result, core::Outcome::Done) << a.Detail;
     EXPECT_NE(a.Members.at(0).WorkerId, "w0");
   }
 }
 
-// An operator stops the entry (SIGTERM) while a caller's job runs. The stop
-// must wait for that job, so the caller still gets its whole answer.
-TEST_F(System, PlannedStopOfEntryInterruptsNothing) {
+// An operator stops the entry with SIGTERM while a caller's job runs. The entry
+// must wait for this job before it exits, so that the caller still gets the
+// complete answer.
+TEST_F(System, GracefulStopOfAnEntryInterruptsNoJob) {
   auto answer = std::async(std::launch::async, [&] {
-    return submit(Cluster->httpPort(), single("long", true, 1, 800));
+    return submit(Cluster->httpPort(), singleMemberJob("long", true, 1, 800));
   });
-  while (runsOf("long#0") == 0)
+  while (runCount("long#0") == 0)
     absl::SleepFor(absl::Milliseconds(10));
   kill(Cluster->entryPid(0), SIGTERM);
   auto a = answer.get();
   EXPECT_EQ(a.Result, core::Outcome::Done) << a.Detail;
 }
 
-// Two operators read profile version V and both write a change. The store
-// takes the first; the second must fail with a conflict naming the version
-// that won, not overwrite the first operator's change.
-TEST_F(System, OperatorRaceEndsInConflict) {
+// Guards against a lost update: two operators read the same profile version and
+// both write a change. The store accepts the first write; the second must fail
+// with a conflict that names the current version, and must not overwrite the
+// first operator's change.
+TEST_F(System, SecondOfTwoConcurrentProfileWritesFailsWithAConflict) {
   const int64_t version = stats().value("profile_version", 0);
   json first = Profile;
   first["power_cap_watts"] = 90000;
@@ -168,11 +174,12 @@
   while (stats().value("profile_version", 0) == version)
     absl::SleepFor(absl::Milliseconds(10));
   auto a = submit(Cluster->httpPort(), [] {
-    auto j = single("over-second-cap", true);
+    auto j = singleMemberJob("over-second-cap", true);
     j.GangShape.PowerWattsPerMember = 85000;
     return j;
   }());
-  // 85 kW fits the first operator's 90 kW cap only: the second write lost.
+  // 85 kW fits only under the first operator's cap of 90 kW: the job runs only
+  // if the second write had no effect.
   EXPECT_EQ(a.Result, core::Outcome::Done) << a.Detail;
 }
 
