--- a/tests/auto/callers/tst_callerapi.cpp
+++ b/tests/auto/callers/tst_callerapi.cpp
@@ -22,45 +22,45 @@
   return json(job);
 }
 
-json with(const char *key, const json &value) {
+json validJobWith(const char *key, const json &value) {
   json job = validJob();
   job[key] = value;
   return job;
 }
 
 struct CallCase {
-  const char *Story;
+  const char *Description;
   const char *Method;
   const char *Path;
   std::string Body;
   JobAnswer Answer;
-  bool Leads;
+  bool HasLeader;
   int Status;
 };
 
 class CallerContract : public testing::TestWithParam<CallCase> {};
 
-// What a caller sees for each kind of request and answer: what it got wrong,
-// whether its job ran, and whether to come back.
-TEST_P(CallerContract, StatusTellsWhatToDo) {
+// The HTTP status must tell the caller whether its request is invalid, whether
+// its job has run, and whether to retry.
+TEST_P(CallerContract, StatusTellsTheCallerHowToProceed) {
   const CallCase &c = GetParam();
-  int submitted = 0;
+  int submissions = 0;
   CallerApi api(
       "127.0.0.1", 0, 8,
       [&](const core::JobRequest &) {
-        ++submitted;
+        ++submissions;
         return c.Answer;
       },
-      [&](const std::string &, const std::string &) { return c.Leads; },
+      [&](const std::string &, const std::string &) { return c.HasLeader; },
       [] { return json::object(); });
   http::HttpClient client(5000);
   auto res = client.call(
       c.Method, "http://127.0.0.1:" + std::to_string(api.port()) + c.Path,
       c.Body);
-  EXPECT_EQ(res.Status, c.Status) << c.Story << ": " << res.Body;
-  // A request that is refused as invalid never reaches the scheduler.
+  EXPECT_EQ(res.Status, c.Status) << c.Description << ": " << res.Body;
+  // An invalid request must not reach the scheduler.
   if (c.Status == 400 || c.Status == 404) {
-    EXPECT_EQ(submitted, 0);
+    EXPECT_EQ(submissions, 0);
   }
 }
 
@@ -80,7 +80,7 @@
                  ended(Outcome::Failed), true, 200},
         CallCase{"in progress", "POST", "/v1/jobs", validJob().dump(),
                  ended(Outcome::InProgress), true, 202},
-        CallCase{"come back later", "POST", "/v1/jobs", validJob().dump(),
+        CallCase{"retry later", "POST", "/v1/jobs", validJob().dump(),
                  notRun(NotRunReason::NoCapacity, 1000), true, 503},
         CallCase{"never fits", "POST", "/v1/jobs", validJob().dump(),
                  notRun(NotRunReason::CanNeverFit, 0), true, 422},
@@ -89,23 +89,23 @@
         CallCase{"a field has the wrong type",
                  "POST",
                  "/v1/jobs",
-                 with("shape", "big").dump(),
+                 validJobWith("shape", "big").dump(),
                  {},
                  true,
                  400},
         CallCase{"non idempotent without a key",
                  "POST",
                  "/v1/jobs",
-                 with("idempotent", false).dump(),
+                 validJobWith("idempotent", false).dump(),
                  {},
                  true,
                  400},
         CallCase{"no members",
                  "POST",
                  "/v1/jobs",
-                 with("shape", {{"members", 0},
-                                {"accelerators_per_member", 1},
-                                {"power_watts_per_member", 1}})
+                 validJobWith("shape", {{"members", 0},
+                                        {"accelerators_per_member", 1},
+                                        {"power_watts_per_member", 1}})
                      .dump(),
                  {},
                  true,
@@ -127,6 +127,8 @@
                  true,
                  400},
         CallCase{"unknown path", "GET", "/v2/jobs", "", {}, true, 404}),
-    [](const auto &info) { return testnames::storyName(info.param.Story); });
+    [](const auto &info) {
+      return testnames::storyName(info.param.Description);
+    });
 
 } // namespace
--- a/tests/auto/endpoints/tst_channel.cpp
+++ b/tests/auto/endpoints/tst_channel.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// A peer whose connections open and then stay silent for good.
-class SilentPeer {
+// A peer whose socket accepts connections but that never answers.
+class UnresponsivePeer {
 public:
-  SilentPeer() : Fd(socket(AF_INET, SOCK_STREAM, 0)) {
+  UnresponsivePeer() : Fd(socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in addr{};
     addr.sin_family = AF_INET;
     addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -24,7 +24,7 @@
     getsockname(Fd, reinterpret_cast<sockaddr *>(&addr), &n);
     Port = ntohs(addr.sin_port);
   }
-  ~SilentPeer() { close(Fd); }
+  ~UnresponsivePeer() { close(Fd); }
   std::string address() const {
     return "tcp://127.0.0.1:" + std::to_string(Port);
   }
@@ -35,14 +35,15 @@
 };
 
 // One of two peers accepts connections and never answers. The call to it must
-// end in a typed error, and the other's answer must not wait for that.
-TEST(Channel, SilentPeerDelaysNobody) {
-  SilentPeer silent;
+// end with a typed error, and the answer of the other peer must not be delayed
+// until then.
+TEST(Channel, UnresponsivePeerDoesNotDelayOtherAnswers) {
+  UnresponsivePeer unresponsive;
   ReplyServer live("tcp://127.0.0.1:0", [](const Message &) {
     return Ack{true, "live"};
   });
   std::vector<size_t> order;
-  callAll({std::make_shared<RequestChannel>(silent.address()),
+  callAll({std::make_shared<RequestChannel>(unresponsive.address()),
            std::make_shared<RequestChannel>(live.address())},
           {Release{1, "r"}, Release{1, "r"}}, 500,
           [&](size_t i, const oriolebay::utils::Result<Message> &reply) {
@@ -52,8 +53,9 @@
   EXPECT_EQ(order, (std::vector<size_t>{1, 0}));
 }
 
-// A peer dies and comes back at its address: the channel must reach it again.
-TEST(Channel, PeerThatComesBackIsReached) {
+// A peer ends and is restarted at the same address: the channel must reach it
+// again.
+TEST(Channel, RestartedPeerIsReachedAgain) {
   auto peer = std::make_unique<ReplyServer>(
       "tcp://127.0.0.1:0", [](const Message &) { return Ack{}; });
   const std::string address = peer->address();
--- a/tests/auto/endpoints/tst_messages.cpp
+++ b/tests/auto/endpoints/tst_messages.cpp
@@ -18,8 +18,8 @@
   return names[info.param.index()];
 }
 
-// Every message comes out of CBOR as it went in.
-TEST_P(RoundTrip, DecodeOfEncodeIsIdentity) {
+// Encoding a message to CBOR and decoding it must give the same message.
+TEST_P(RoundTrip, DecodedMessageEqualsTheEncodedOne) {
   auto decoded = decode(encode(GetParam()));
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded.value(), GetParam());
@@ -68,9 +68,10 @@
             "ok", "", 0, "running", 3, {4711, 12}, "tcp://127.0.0.1:5"})),
     messageName);
 
-// A peer of another version, or a corrupted frame, must give a typed error
-// that the reply thread answers, not a crash of the agent or the entry.
-TEST(Decode, GarbageIsBadMessage) {
+// A message of another version, or a corrupted frame, must give a typed error
+// with which the reply thread answers, and must not crash the agent or the
+// entry.
+TEST(Decode, InvalidBytesGiveABadMessageError) {
   auto kind = utils::handle<utils::ErrorKind>(
       [&]() -> utils::Result<utils::ErrorKind> {
         BOOST_LEAF_CHECK(decode("\xff\x00garbage"));
--- a/tests/auto/entry/tst_decisionpacer.cpp
+++ b/tests/auto/entry/tst_decisionpacer.cpp
@@ -7,10 +7,10 @@
 
 struct PaceCase {
   const char *Name;
-  int TakesMs;
-  /// Of a second in which something is to be decided all the time.
-  int MostMsDeciding;
-  int LeastDecisions;
+  int DecisionMs;
+  /// Limits for one second in which a scheduling pass is always due.
+  int MaxDecidingMs;
+  int MinDecisions;
 };
 
 std::ostream &operator<<(std::ostream &out, const PaceCase &c) {
@@ -19,10 +19,11 @@
 
 class Paces : public ::testing::TestWithParam<PaceCase> {};
 
-// A burst of urgent gangs at a large site: each look at what waits takes the
-// leader tens of milliseconds, and each end brings another. Callers saw all
-// running work lapse, because grants waited behind decisions.
-TEST_P(Paces, DecisionsTakeABoundedShareOfTheTime) {
+// Guards against grants that are delayed by scheduling passes until all running
+// tasks lapse. This occurred in a burst of urgent gangs at a large site: each
+// pass took the leader tens of milliseconds, and each end of a run triggered
+// another.
+TEST_P(Paces, SchedulingPassesTakeABoundedShareOfTheTime) {
   constexpr int Rest = 3;
   DecisionPacer pacer(Rest);
   const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
@@ -31,16 +32,16 @@
   absl::Duration deciding = absl::ZeroDuration();
   while (now < start + absl::Seconds(1)) {
     if (pacer.due(now)) {
-      const absl::Time began = now;
-      now += absl::Milliseconds(GetParam().TakesMs);
-      pacer.decided(began, now);
-      deciding += now - began;
+      const absl::Time passStart = now;
+      now += absl::Milliseconds(GetParam().DecisionMs);
+      pacer.decided(passStart, now);
+      deciding += now - passStart;
       ++decisions;
     }
     now += absl::Milliseconds(1);
   }
-  EXPECT_LE(deciding, absl::Milliseconds(GetParam().MostMsDeciding));
-  EXPECT_GE(decisions, GetParam().LeastDecisions);
+  EXPECT_LE(deciding, absl::Milliseconds(GetParam().MaxDecidingMs));
+  EXPECT_GE(decisions, GetParam().MinDecisions);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, Paces,
--- a/tests/auto/eventlog/tst_eventlog.cpp
+++ b/tests/auto/eventlog/tst_eventlog.cpp
@@ -14,8 +14,8 @@
 namespace oriolebay::eventlog {
 namespace {
 
-// The catalogue is what on-call engineers have: an event that it lacks, or
-// names otherwise, cannot be looked up.
+// On-call engineers look events up in the catalogue: an event that is missing
+// there, or has another name, cannot be found.
 TEST(EventLog, CatalogueAndCodeAgree) {
   std::ifstream in(ORIOLEBAY_SOURCE_DIR "/docs/EVENTS.md");
   ASSERT_TRUE(in.is_open());
@@ -26,19 +26,19 @@
     if (std::regex_match(line, m, row))
       documented.insert({std::stoi(m[1]), m[2]});
   }
-  std::set<std::pair<int, std::string>> coded;
+  std::set<std::pair<int, std::string>> defined;
   for (const EventInfo &info : allEvents())
-    coded.insert({static_cast<int>(info.Number), info.Name});
-  for (const auto &[number, name] : coded)
+    defined.insert({static_cast<int>(info.Number), info.Name});
+  for (const auto &[number, name] : defined)
     EXPECT_EQ(documented.count({number, name}), 1u)
         << number << " " << name << " is not in docs/EVENTS.md";
   for (const auto &[number, name] : documented)
-    EXPECT_EQ(coded.count({number, name}), 1u)
+    EXPECT_EQ(defined.count({number, name}), 1u)
         << number << " " << name << " is only in docs/EVENTS.md";
 }
 
-// A log path in a folder that does not exist ended the process with an
-// uncaught exception and exit status 134, at its first event.
+// Guards against a log path in a folder that does not exist: it terminated the
+// process at its first event with an uncaught exception and exit status 134.
 TEST(EventLog, PathThatCannotBeWrittenIsASettingsError) {
   const auto kind = utils::handle<std::optional<utils::ErrorKind>>(
       []() -> utils::Result<std::optional<utils::ErrorKind>> {
@@ -52,9 +52,9 @@
   EXPECT_EQ(kind, utils::ErrorKind::BadSettings);
 }
 
-// Whoever reads the log stops reading. Requests must not wait for it: lines
-// are left out and counted instead.
-TEST(EventLog, ReaderThatDoesNotReadHoldsNobodyUp) {
+// Guards against requests that block because the reader of the log has stopped
+// reading: lines must be left out and counted instead.
+TEST(EventLog, LinesAreLeftOutWhenTheReaderStopsReading) {
   const std::string path =
       ::testing::TempDir() + "oriolebay-fifo-" + std::to_string(::getpid());
   ASSERT_EQ(::mkfifo(path.c_str(), 0600), 0);
@@ -67,7 +67,8 @@
       },
       [](const utils::Error &) { return false; });
   ASSERT_TRUE(ready);
-  // Of several kinds, so that no rate limit keeps the queue from filling.
+  // Events of several kinds are logged, so that the rate limit of one kind does
+  // not keep the queue from filling.
   for (int round = 0; round < 100; ++round)
     for (const EventInfo &info : allEvents())
       logEvent(info.Number, {{"text", std::string(200, 'x')}});
--- a/tests/auto/eventlog/tst_timeline.cpp
+++ b/tests/auto/eventlog/tst_timeline.cpp
@@ -9,8 +9,9 @@
 namespace oriolebay::eventlog {
 namespace {
 
-/// Logs of two entries and an agent. The first entry's wall clock jumps by an
-/// hour after its second line; a collector has put text before some lines.
+/// Logs of two entries and an agent. The wall clock of the first entry jumps by
+/// an hour after its second line and back after the third. One line has a
+/// prefix that a log collector has added.
 const char *const Logs = R"(
 {"ts_us":1000000,"up_ms":500,"proc":"e1","name":"process.started"}
 {"ts_us":1100000,"up_ms":600,"proc":"e1","name":"call.answered","job":"j1","organisation":"o1","result":"ok"}
@@ -45,9 +46,9 @@
   return names;
 }
 
-// An entry's wall clock jumped by an hour for a moment. In the time line the
-// placement of a job's run came an hour after its end.
-TEST(Timeline, ProcessKeepsItsOrderThoughItsClockJumps) {
+// Guards against a time line in which a run is placed an hour after its end,
+// because the wall clock of its entry jumped by an hour and back.
+TEST(Timeline, EventsOfAProcessKeepTheirOrderWhenItsClockJumps) {
   int skipped = 0;
   const std::vector<LoggedEvent> events = sample(&skipped);
   EXPECT_EQ(skipped, 2);
@@ -58,9 +59,9 @@
   EXPECT_EQ(names(events).back(), "leader.lost");
 }
 
-// A file name was misspelt; the story came without that process's lines, and
-// nothing said so.
-TEST(Timeline, TellsWhichFilesCannotBeRead) {
+// Guards against a time line that silently lacks the events of a process
+// because the name of its log file was misspelt.
+TEST(Timeline, UnreadableFilesAreReported) {
   const ReadEvents read = readEvents({"/no/such/file.log"});
   EXPECT_TRUE(read.Events.empty());
   EXPECT_EQ(read.Unreadable, std::vector<std::string>{"/no/such/file.log"});
@@ -76,7 +77,7 @@
 
 class Filters : public ::testing::TestWithParam<FilterCase> {};
 
-TEST_P(Filters, LetThrough) {
+TEST_P(Filters, SelectTheMatchingEvents) {
   EXPECT_EQ(names(select(sample(), GetParam().Filter)), GetParam().Names);
 }
 
@@ -95,7 +96,7 @@
 INSTANTIATE_TEST_SUITE_P(Table, Filters, ::testing::ValuesIn(FilterCases),
                          [](const auto &info) { return info.param.Name; });
 
-TEST(Story, HasWhatConcernsTheJobAndNothingElse) {
+TEST(JobTimeline, HasOnlyEventsThatConcernTheJob) {
   EXPECT_EQ(
       names(storyOf("j1", sample())),
       (std::vector<std::string>{"call.answered", "run.placed",
@@ -104,9 +105,10 @@
   EXPECT_TRUE(storyOf("j3", sample()).empty());
 }
 
-// The store was away for a while; two lines of three in a job's story were
-// store calls of all processes that had failed.
-TEST(Story, HasOneFailedStoreCallAProcessAndOutage) {
+// Guards against a job's time line that consists mostly of failed store calls:
+// after an outage of the store, two of three lines were failed store calls of
+// all processes.
+TEST(JobTimeline, HasOneFailedStoreCallPerProcessAndOutage) {
   std::vector<LoggedEvent> events;
   const auto add = [&](int64_t ms, const char *process, const char *name,
                        const char *job = "") {
@@ -129,7 +131,7 @@
                                       "job.ended"}));
 }
 
-TEST(Story, ReadsAsText) {
+TEST(JobTimeline, IsPrintedAsText) {
   std::ostringstream out;
   printText(select(sample(), {"a1", "", "", "order.", {}, {}}), out);
   EXPECT_EQ(out.str(),
--- a/tests/auto/metrics/tst_metrics.cpp
+++ b/tests/auto/metrics/tst_metrics.cpp
@@ -15,7 +15,7 @@
 
 struct TextCase {
   const char *Name;
-  std::function<void(ProcessMetrics &)> Do;
+  std::function<void(ProcessMetrics &)> Record;
   std::vector<std::string> Lines;
 };
 
@@ -23,9 +23,9 @@
 
 class MetricsText : public ::testing::TestWithParam<TextCase> {};
 
-TEST_P(MetricsText, HasTheLines) {
+TEST_P(MetricsText, ContainsTheExpectedLines) {
   ProcessMetrics metrics;
-  GetParam().Do(metrics);
+  GetParam().Record(metrics);
   const std::string text = metrics.text();
   for (const std::string &line : GetParam().Lines)
     EXPECT_NE(text.find(line + "\n"), std::string::npos) << line << "\n"
@@ -95,12 +95,12 @@
   std::thread Runner;
 };
 
-TEST_F(MetricsServing, AnswersWithFreshGauges) {
-  int asked = 0;
+TEST_F(MetricsServing, GaugesAreUpdatedForEveryRequest) {
+  int requests = 0;
   MetricsServer server(
       Loop, Metrics,
-      [&asked](ProcessMetrics &m) {
-        m.set("asked", "Asked so often.", ++asked);
+      [&requests](ProcessMetrics &m) {
+        m.set("asked", "Number of requests.", ++requests);
       },
       "127.0.0.1", 0);
   ASSERT_GT(server.port(), 0);
@@ -111,13 +111,13 @@
   EXPECT_EQ(get(server.port(), "/other").Status, 404);
 }
 
-// Another process holds the address of the metrics. The entry did not start at
-// all, and callers found one entry fewer, for want of figures that nobody had
-// asked for.
-TEST_F(MetricsServing, TakenAddressStopsNothing) {
-  auto none = [](ProcessMetrics &) {};
-  MetricsServer first(Loop, Metrics, none, "127.0.0.1", 0);
-  MetricsServer second(Loop, Metrics, none, "127.0.0.1", first.port());
+// Guards against an entry that does not start because another process uses the
+// address of its metrics: callers lost an entry only because its metrics could
+// not be served.
+TEST_F(MetricsServing, AddressInUseDoesNotPreventTheStart) {
+  auto noGauges = [](ProcessMetrics &) {};
+  MetricsServer first(Loop, Metrics, noGauges, "127.0.0.1", 0);
+  MetricsServer second(Loop, Metrics, noGauges, "127.0.0.1", first.port());
   EXPECT_EQ(second.port(), 0);
   EXPECT_EQ(get(first.port(), "/metrics").Status, 200);
 }
--- a/tests/auto/platform/tst_platform.cpp
+++ b/tests/auto/platform/tst_platform.cpp
@@ -15,7 +15,7 @@
 
 constexpr long CallTimeoutMs = 300;
 
-// The store stand-in alone.
+// Runs only the store stand-in.
 class Store : public testing::Test {
 protected:
   void SetUp() override {
@@ -29,7 +29,7 @@
   }
   void TearDown() override { Cluster->stopAll(); }
 
-  void fault(const std::string &body) const {
+  void injectFault(const std::string &body) const {
     http::HttpClient client(5000);
     client.call("POST", Cluster->storeUrl() + "/fault", body);
   }
@@ -43,7 +43,7 @@
 };
 
 struct StoreCase {
-  const char *Story;
+  const char *Description;
   const char *Fault;
   bool Answered;
   bool Applied;
@@ -51,12 +51,13 @@
 class StoreContract : public Store,
                       public testing::WithParamInterface<StoreCase> {};
 
-// A write meets a fault of the store. The client must say StoreUnavailable
-// whenever it cannot know, also when the write took effect: a caller that took
-// a lost reply for "not written" would write twice.
-TEST_P(StoreContract, UnknownOutcomeIsNeverSuccessNorRefusal) {
+// A write is affected by a fault of the store. The client must report
+// StoreUnavailable whenever the outcome is unknown, also if the write took
+// effect: a caller that considers a lost reply as "not written" would write
+// twice.
+TEST_P(StoreContract, UnknownOutcomeIsNeitherSuccessNorRefusal) {
   const StoreCase &c = GetParam();
-  fault(c.Fault);
+  injectFault(c.Fault);
   auto outcome = utils::handle<std::string>(
       [&]() -> utils::Result<std::string> {
         BOOST_LEAF_AUTO(res, Kv->compareAndSwap("/k", "v", 0));
@@ -66,9 +67,9 @@
         return e.Kind == utils::ErrorKind::StoreUnavailable ? "unknown"
                                                             : "other";
       });
-  EXPECT_EQ(outcome, c.Answered ? "written" : "unknown") << c.Story;
-  fault(R"({"outage":false,"delay_ms":0,"lose_replies":0})");
-  // A slow write may take effect after its caller gave up.
+  EXPECT_EQ(outcome, c.Answered ? "written" : "unknown") << c.Description;
+  injectFault(R"({"outage":false,"delay_ms":0,"lose_replies":0})");
+  // A slow write may take effect after its call has timed out.
   waitUntil([&] {
     auto kv = Kv->get("/k");
     return kv && kv->has_value() == c.Applied;
@@ -83,10 +84,13 @@
                               false, true},
                     StoreCase{"lost reply", R"({"lose_replies":1})", false,
                               true}),
-    [](const auto &info) { return testnames::storyName(info.param.Story); });
+    [](const auto &info) {
+      return testnames::storyName(info.param.Description);
+    });
 
-// A new leader reads more gang records than one answer of the store may hold.
-// It must get all of them, or it would start what an earlier leader started.
+// Guards against a new leader that starts gangs again which a previous leader
+// has started: it reads more gang records than one reply of the store may
+// contain, and must get all of them.
 TEST_F(Store, ListReadsEveryPage) {
   constexpr int Keys = 1001;
   for (int i = 0; i < Keys; ++i)
@@ -98,7 +102,8 @@
   EXPECT_GE(Kv->calls(), Keys + 1 + 3);
 }
 
-// One candidate of an election and what it last heard.
+// A candidate of a leader election and the leadership that it was last notified
+// of.
 class Candidate {
 public:
   Candidate(KvClient &kv, std::string address)
@@ -122,37 +127,40 @@
   platform::LeaderElection Election;
 };
 
-// The leader is paused past its lease and another entry takes over. The old
-// leader wakes and tries to record a start under its epoch: the store must
-// refuse it, and the epochs must have grown.
-TEST_F(Store, PausedLeaseHolderIsFenced) {
+// The leader is suspended beyond its lease, and another entry takes over. The
+// old leader resumes and tries to record a start under its epoch: the store
+// must refuse the write, and the new epoch must be greater.
+TEST_F(Store, SuspendedLeaderIsFenced) {
   Candidate first(*Kv, "tcp://first");
   waitUntil([&] { return first.known().Mine; });
   Candidate second(*Kv, "tcp://second");
   waitUntil([&] { return second.known().Epoch == first.known().Epoch; });
   EXPECT_FALSE(second.known().Mine);
-  const int64_t old = first.known().Epoch;
-  // Stopped without resigning: as the store sees it, paused.
+  const int64_t oldEpoch = first.known().Epoch;
+  // The candidate stops without resigning, which looks to the store like a
+  // suspended process.
   first.Election.stop();
   waitUntil([&] { return second.known().Mine; });
-  EXPECT_GT(second.known().Epoch, old);
-  auto late = Kv->txn(
-      {{platform::LeaderKey, platform::Compare::Field::CreateRevision, old}},
-      {{"/oriolebay/gangs/late", "{}", 0}});
-  ASSERT_TRUE(late);
-  EXPECT_FALSE(late->Succeeded);
-  auto now =
+  EXPECT_GT(second.known().Epoch, oldEpoch);
+  auto staleTxn =
+      Kv->txn({{platform::LeaderKey, platform::Compare::Field::CreateRevision,
+                oldEpoch}},
+              {{"/oriolebay/gangs/late", "{}", 0}});
+  ASSERT_TRUE(staleTxn);
+  EXPECT_FALSE(staleTxn->Succeeded);
+  auto currentTxn =
       Kv->txn({{platform::LeaderKey, platform::Compare::Field::CreateRevision,
                 second.known().Epoch}},
               {{"/oriolebay/gangs/now", "{}", 0}});
-  ASSERT_TRUE(now);
-  EXPECT_TRUE(now->Succeeded);
+  ASSERT_TRUE(currentTxn);
+  EXPECT_TRUE(currentTxn->Succeeded);
 }
 
-// Replies to the election's own calls are lost. Whatever took effect, in the
-// end exactly one of the two entries leads, and both agree who.
-TEST_F(Store, LostRepliesLeaveOneLeader) {
-  fault(R"({"lose_replies":6})");
+// Replies to the calls of the election itself are lost. Whichever calls took
+// effect, in the end exactly one of the two candidates must lead, and both must
+// agree on the leader.
+TEST_F(Store, LostRepliesLeaveExactlyOneLeader) {
+  injectFault(R"({"lose_replies":6})");
   Candidate first(*Kv, "tcp://first");
   Candidate second(*Kv, "tcp://second");
   waitUntil([&] {
--- a/tests/auto/settings/tst_nodesettings.cpp
+++ b/tests/auto/settings/tst_nodesettings.cpp
@@ -9,28 +9,28 @@
 
 namespace {
 
-const char *const Good = R"({"name":"e1","failure_domain":"fd-a",
+const char *const ValidSettings = R"({"name":"e1","failure_domain":"fd-a",
   "peers_listen":"127.0.0.1:7000","store_address":"127.0.0.1:2379"})";
 
-/// Good with more keys.
-std::string with(const std::string &more) {
-  std::string text = Good;
+/// Returns the valid settings with further keys.
+std::string settingsWith(const std::string &more) {
+  std::string text = ValidSettings;
   text.insert(text.rfind('}'), "," + more);
   return text;
 }
 
-struct BadCase {
-  const char *Story;
+struct InvalidCase {
+  const char *Description;
   std::string Text;
   const char *MessagePart;
 };
 
-void PrintTo(const BadCase &c, std::ostream *out) { *out << c.Story; }
+void PrintTo(const InvalidCase &c, std::ostream *out) { *out << c.Description; }
 
-class NodeSettingsRejected : public testing::TestWithParam<BadCase> {};
+class NodeSettingsRejected : public testing::TestWithParam<InvalidCase> {};
 
 TEST_P(NodeSettingsRejected, NamesTheSetting) {
-  const BadCase &c = GetParam();
+  const InvalidCase &c = GetParam();
   const std::string message = utils::handle<std::string>(
       [&]() -> utils::Result<std::string> {
         BOOST_LEAF_CHECK(settings::parseNodeSettings(c.Text));
@@ -47,33 +47,40 @@
 INSTANTIATE_TEST_SUITE_P(
     Table, NodeSettingsRejected,
     testing::Values(
-        BadCase{"no name", R"({"failure_domain":"f"})", "name"},
-        BadCase{"no port", with(R"("callers_listen":"127.0.0.1")"),
-                "callers_listen"},
-        BadCase{"port out of range", with(R"("ready_listen":"1.2.3.4:70000")"),
-                "ready_listen"},
-        BadCase{"port is no number", with(R"("metrics_listen":"1.2.3.4:x1")"),
-                "metrics_listen"},
-        BadCase{"unknown key", with(R"("storeaddress":"1.2.3.4:1")"),
-                "storeaddress"},
-        BadCase{"unknown bound", with(R"("bounds":{"hold_ms":1})"),
-                "bounds.hold_ms"},
-        BadCase{"bounds are no object", with(R"("bounds":[1])"), "bounds"},
-        BadCase{"no time at all", with(R"("bounds":{"stop_grace_ms":0})"),
-                "bounds.stop_grace_ms"},
-        BadCase{"no grace", with(R"("bounds":{"term_grace_s":-1})"),
-                "bounds.term_grace_s"},
-        BadCase{"no processor", with(R"("processor_share":0)"),
-                "processor_share"},
-        BadCase{"wrong type", with(R"("heartbeat_ms":"often")"),
-                "heartbeat_ms"},
-        BadCase{"holds shorter than two heartbeats",
-                with(R"("heartbeat_ms":3000,"bounds":{"hold_max_ms":6000})"),
-                "bounds.hold_max_ms"},
-        BadCase{"remote work is faster",
-                with(R"("bounds":{"remote_factor":0.5})"), "remote_factor"}),
+        InvalidCase{"no name", R"({"failure_domain":"f"})", "name"},
+        InvalidCase{"no port", settingsWith(R"("callers_listen":"127.0.0.1")"),
+                    "callers_listen"},
+        InvalidCase{"port out of range",
+                    settingsWith(R"("ready_listen":"1.2.3.4:70000")"),
+                    "ready_listen"},
+        InvalidCase{"port is no number",
+                    settingsWith(R"("metrics_listen":"1.2.3.4:x1")"),
+                    "metrics_listen"},
+        InvalidCase{"unknown key",
+                    settingsWith(R"("storeaddress":"1.2.3.4:1")"),
+                    "storeaddress"},
+        InvalidCase{"unknown bound", settingsWith(R"("bounds":{"hold_ms":1})"),
+                    "bounds.hold_ms"},
+        InvalidCase{"bounds are no object", settingsWith(R"("bounds":[1])"),
+                    "bounds"},
+        InvalidCase{"no time at all",
+                    settingsWith(R"("bounds":{"stop_grace_ms":0})"),
+                    "bounds.stop_grace_ms"},
+        InvalidCase{"no grace", settingsWith(R"("bounds":{"term_grace_s":-1})"),
+                    "bounds.term_grace_s"},
+        InvalidCase{"no processor", settingsWith(R"("processor_share":0)"),
+                    "processor_share"},
+        InvalidCase{"wrong type", settingsWith(R"("heartbeat_ms":"often")"),
+                    "heartbeat_ms"},
+        InvalidCase{"holds shorter than two heartbeats",
+                    settingsWith(
+                        R"("heartbeat_ms":3000,"bounds":{"hold_max_ms":6000})"),
+                    "bounds.hold_max_ms"},
+        InvalidCase{"remote work is faster",
+                    settingsWith(R"("bounds":{"remote_factor":0.5})"),
+                    "remote_factor"}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Story);
+      return oriolebay::testnames::storyName(info.param.Description);
     });
 
 struct SiteCase {
@@ -86,47 +93,52 @@
 
 settings::SiteBounds bounds(int holdMaxMs, int stopGraceMs, int configApplyMs,
                             int revokeMs, int leaseMs, int reclaimMs) {
-  settings::SiteBounds b;
-  b.HoldMaxMs = holdMaxMs;
-  b.StopGraceMs = stopGraceMs;
-  b.ConfigApplyMs = configApplyMs;
-  b.RevokeMs = revokeMs;
-  b.LeaseMs = leaseMs;
-  b.ReclaimMs = reclaimMs;
-  return b;
+  settings::SiteBounds siteBounds;
+  siteBounds.HoldMaxMs = holdMaxMs;
+  siteBounds.StopGraceMs = stopGraceMs;
+  siteBounds.ConfigApplyMs = configApplyMs;
+  siteBounds.RevokeMs = revokeMs;
+  siteBounds.LeaseMs = leaseMs;
+  siteBounds.ReclaimMs = reclaimMs;
+  return siteBounds;
 }
 
 class TimingFollowsFromBounds : public testing::TestWithParam<SiteCase> {};
 
-// Every timeout is derived, so that a site with other bounds keeps its promises
-// too. What each has to satisfy, whatever the bounds are.
+// All timeouts are derived from the site's bounds, so that a site with other
+// bounds keeps its guarantees too. Checks the condition that each timeout has
+// to satisfy for any bounds.
 TEST_P(TimingFollowsFromBounds, KeepsEachBound) {
-  settings::NodeSettings s;
-  s.HeartbeatMs = GetParam().HeartbeatMs;
-  s.Bounds = GetParam().Bounds;
-  const settings::SiteBounds &b = s.Bounds;
-  const settings::Timing t = settings::deriveTiming(s);
-  // A hold to the end of a grant is never longer than the worker allows.
-  EXPECT_LE(t.Grant, absl::Milliseconds(b.HoldMaxMs));
-  // A grant outlives two lost reports.
+  settings::NodeSettings nodeSettings;
+  nodeSettings.HeartbeatMs = GetParam().HeartbeatMs;
+  nodeSettings.Bounds = GetParam().Bounds;
+  const settings::SiteBounds &siteBounds = nodeSettings.Bounds;
+  const settings::Timing t = settings::deriveTiming(nodeSettings);
+  // A keep-alive call to the end of a grant never extends tasks longer than the
+  // worker allows.
+  EXPECT_LE(t.Grant, absl::Milliseconds(siteBounds.HoldMaxMs));
+  // A grant remains valid when two reports in a row are lost.
   EXPECT_GE(t.Grant, 2 * t.ReportEvery);
-  // Tasks count as ended only when they have, on a clock that is 2% slow.
+  // Tasks are considered ended only after they have ended, also if the clock is
+  // 2% slow.
   EXPECT_GE(t.GrantOverAfter, t.Grant * 1.02);
-  // A replaced leader is gone before another may act on the same matter.
-  EXPECT_LT(t.LeaderLease, absl::Milliseconds(b.LeaseMs));
-  // A view that serves calls is confirmed again, with one answer lost, before
-  // it is too old; and is refused well before a key must be.
+  // The lease of a replaced leader has expired before another process may act
+  // on the same tasks.
+  EXPECT_LT(t.LeaderLease, absl::Milliseconds(siteBounds.LeaseMs));
+  // A view of the configuration that serves calls is confirmed again before it
+  // is too old, also if one answer is lost. A view that is too old is no longer
+  // used well before a revoked key has to be rejected.
   EXPECT_LE(2 * t.ConfirmEvery, t.OldestConfig);
-  EXPECT_LE(t.OldestConfig, absl::Milliseconds(b.RevokeMs) / 2);
-  EXPECT_LE(t.ConfirmEvery * 3, absl::Milliseconds(b.ConfigApplyMs));
-  // A view that was confirmed in time counts as fresh. Where it did not, an
-  // entry handed on calls that it could have served itself.
+  EXPECT_LE(t.OldestConfig, absl::Milliseconds(siteBounds.RevokeMs) / 2);
+  EXPECT_LE(t.ConfirmEvery * 3, absl::Milliseconds(siteBounds.ConfigApplyMs));
+  // A view that was confirmed in time counts as fresh. Otherwise an entry
+  // forwards calls that it could serve itself.
   EXPECT_GT(t.FreshConfig, t.ConfirmEvery);
   EXPECT_LT(t.FreshConfig, t.OldestConfig);
-  // Room is made in time for the stop to end within the bound.
-  EXPECT_LT(t.ReclaimAfter + absl::Milliseconds(b.StopGraceMs),
-            absl::Milliseconds(b.ReclaimMs));
-  EXPECT_LT(t.LeaveBy, absl::Milliseconds(b.TermGraceMs));
+  // Capacity is reclaimed early enough for the stop to end within the bound.
+  EXPECT_LT(t.ReclaimAfter + absl::Milliseconds(siteBounds.StopGraceMs),
+            absl::Milliseconds(siteBounds.ReclaimMs));
+  EXPECT_LT(t.LeaveBy, absl::Milliseconds(siteBounds.TermGraceMs));
 }
 
 INSTANTIATE_TEST_SUITE_P(
