--- a/tests/bench/decidebench/main.cpp
+++ b/tests/bench/decidebench/main.cpp
@@ -1,5 +1,6 @@
-// What one look at all that waits costs the leader, by the number of workers: a
-// site full of batch tasks, in which urgent gangs wait for room.
+// Measures the cost of one scheduling pass of the leader by the number of
+// workers, on a site that is full of batch tasks while urgent gangs wait for
+// capacity.
 #include "jobs/jobscheduler.h"
 
 #include <benchmark/benchmark.h>
@@ -15,7 +16,7 @@
 constexpr int TasksPerJob = 80;
 constexpr int WorkersPerRack = 8;
 constexpr int AcceleratorsPerWorker = 8;
-/// One gang waits for so many workers.
+/// Number of workers of the site for each waiting gang.
 constexpr int WorkersPerWaitingGang = 12;
 
 std::shared_ptr<const core::SiteConfig> makeConfig() {
@@ -32,9 +33,9 @@
   return config;
 }
 
-class Site {
+class SiteSimulation {
 public:
-  explicit Site(int workers)
+  explicit SiteSimulation(int workers)
       : Scheduler(jobs::SchedulerPolicy(), 1, Now), WorkerCount(workers) {
     Scheduler.onConfig(makeConfig());
     for (int w = 0; w < workers; ++w)
@@ -42,13 +43,14 @@
     const int slots = workers * AcceleratorsPerWorker;
     for (int j = 0; j * TasksPerJob < slots; ++j)
       submit("b" + std::to_string(j), "batch", 2, TasksPerJob, 1, false);
-    settle();
+    startPlacedRuns();
     for (int j = 0; j * WorkersPerWaitingGang < workers; ++j)
       submit("u" + std::to_string(j), "urgent", 0, WorkersPerRack, 8, true);
   }
 
-  /// One worker tells what it told before, and time passes.
-  void turn() {
+  /// Advances the time, repeats the report of one worker, and runs a scheduling
+  /// pass.
+  void advanceAndDecide() {
     Now += absl::Milliseconds(200);
     report(NextWorker++ % WorkerCount);
     Scheduler.tick(Now);
@@ -57,23 +59,23 @@
   }
 
 private:
-  endpoints::WorkerLife life(int worker) const {
+  endpoints::WorkerLife incarnation(int worker) const {
     return {"w" + std::to_string(worker), 1};
   }
 
   void report(int worker) {
-    endpoints::WorkerReport r;
-    r.Worker.Life = life(worker);
-    r.Worker.Service = "service";
-    r.Worker.Rack = "r" + std::to_string(worker / WorkersPerRack);
-    r.Worker.Capacity = {32000, 131072, AcceleratorsPerWorker};
-    r.Agent = "agent-" + std::to_string(worker);
-    r.AgentAddress = r.Agent;
-    r.Sequence = ++Sequence;
-    r.Reachable = true;
-    r.Epoch = 1;
-    r.Running = RunningAt[r.Worker.Life];
-    Scheduler.onReport(r, Now);
+    endpoints::WorkerReport workerReport;
+    workerReport.Worker.Life = incarnation(worker);
+    workerReport.Worker.Service = "service";
+    workerReport.Worker.Rack = "r" + std::to_string(worker / WorkersPerRack);
+    workerReport.Worker.Capacity = {32000, 131072, AcceleratorsPerWorker};
+    workerReport.Agent = "agent-" + std::to_string(worker);
+    workerReport.AgentAddress = workerReport.Agent;
+    workerReport.Sequence = ++Sequence;
+    workerReport.Reachable = true;
+    workerReport.Epoch = 1;
+    workerReport.Running = RunningAt[workerReport.Worker.Life];
+    Scheduler.onReport(workerReport, Now);
   }
 
   void submit(const std::string &id, const std::string &queue, int priority,
@@ -97,8 +99,9 @@
     Scheduler.onRecord(record, ++Revision, Now);
   }
 
-  // What was placed is recorded, ordered and reported as running.
-  void settle() {
+  // Runs a scheduling pass, confirms the writes of the placed runs, and reports
+  // the ordered runs as running.
+  void startPlacedRuns() {
     Scheduler.decide(Now);
     for (const jobs::ProgressWrite &write : Scheduler.takeWrites())
       Scheduler.onWritten(write.JobId, write.Progress.Version, ++Revision, Now);
@@ -120,10 +123,10 @@
 };
 
 void decideWhileGangsWait(benchmark::State &state) {
-  Site site(static_cast<int>(state.range(0)));
-  site.turn();
+  SiteSimulation site(static_cast<int>(state.range(0)));
+  site.advanceAndDecide();
   for (auto _ : state)
-    site.turn();
+    site.advanceAndDecide();
 }
 BENCHMARK(decideWhileGangsWait)
     ->Arg(15)
--- a/tests/bench/harness/launcher.cpp
+++ b/tests/bench/harness/launcher.cpp
@@ -60,9 +60,10 @@
                                    O_WRONLY | O_CREAT | O_TRUNC, 0644);
   posix_spawn_file_actions_adddup2(&actions, 1, 2);
   pid_t pid = 0;
-  int rv = posix_spawn(&pid, argv[0], &actions, nullptr, argv.data(), environ);
+  int result =
+      posix_spawn(&pid, argv[0], &actions, nullptr, argv.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
-  if (rv != 0)
+  if (result != 0)
     throw std::runtime_error("cannot start " + args[0]);
   return pid;
 }
@@ -91,23 +92,24 @@
 }
 
 void Launcher::start() {
-  const std::string &w = Spec.WorkDir;
-  // Ready files and logs left by an earlier run would name ports nobody
-  // listens on and mix old events into the time line.
-  std::filesystem::create_directories(w);
-  for (const auto &f : std::filesystem::directory_iterator(w))
-    if (f.path().extension() == ".ready" || f.path().extension() == ".log")
-      std::filesystem::remove(f.path());
+  const std::string &workDir = Spec.WorkDir;
+  // Ready files of an earlier run name ports at which nothing listens any more,
+  // and its logs would mix old events into the time line.
+  std::filesystem::create_directories(workDir);
+  for (const auto &file : std::filesystem::directory_iterator(workDir))
+    if (file.path().extension() == ".ready" ||
+        file.path().extension() == ".log")
+      std::filesystem::remove(file.path());
   const std::string tests = Spec.BinDir + "/tests/standins/";
-  StorePid = spawn({tests + "oriolebay-kv-standin", "0", w + "/kv.ready"},
-                   w + "/kv.out");
-  StorePort = waitReady(w + "/kv.ready", StorePid)["port"];
-  BackendPid =
-      spawn({tests + "oriolebay-backend-standin", Spec.Service, "0",
-             std::to_string(Spec.BackendRunMs),
-             std::to_string(Spec.BackendFailureRate), w + "/backend.ready"},
-            w + "/backend.out");
-  BackendPort = waitReady(w + "/backend.ready", BackendPid)["port"];
+  StorePid = spawn({tests + "oriolebay-kv-standin", "0", workDir + "/kv.ready"},
+                   workDir + "/kv.out");
+  StorePort = waitReady(workDir + "/kv.ready", StorePid)["port"];
+  BackendPid = spawn({tests + "oriolebay-backend-standin", Spec.Service, "0",
+                      std::to_string(Spec.BackendRunMs),
+                      std::to_string(Spec.BackendFailureRate),
+                      workDir + "/backend.ready"},
+                     workDir + "/backend.out");
+  BackendPort = waitReady(workDir + "/backend.ready", BackendPid)["port"];
   for (int i = 0; i < Spec.Entries; ++i) {
     pid_t pid = startEntry(i, 0, "tcp://127.0.0.1:0");
     auto ready = waitReady(entryFile(i, ".ready"), pid);
@@ -118,7 +120,8 @@
   for (const core::WorkerInfo &info : Spec.Workers)
     AgentPids.push_back(startAgent(info));
   for (size_t i = 0; i < AgentPids.size(); ++i)
-    waitReady(w + "/agent-" + Spec.Workers[i].Id + ".ready", AgentPids[i]);
+    waitReady(workDir + "/agent-" + Spec.Workers[i].Id + ".ready",
+              AgentPids[i]);
 }
 
 std::string Launcher::entryFile(int i, const std::string &suffix) const {
@@ -211,22 +214,24 @@
   const long ticks = sysconf(_SC_CLK_TCK);
   const long pageKb = sysconf(_SC_PAGESIZE) / 1024;
   auto read = [&](const std::string &role, const std::string &name, pid_t pid) {
-    ProcessUsage u{role, name, pid, 0, 0};
+    ProcessUsage processUsage{role, name, pid, 0, 0};
     std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
     std::string text((std::istreambuf_iterator<char>(stat)), {});
     auto close = text.rfind(')');
     if (close == std::string::npos)
-      return u;
+      return processUsage;
     std::istringstream rest(text.substr(close + 2));
-    std::vector<std::string> f;
+    std::vector<std::string> fields;
     for (std::string s; rest >> s;)
-      f.push_back(s);
-    // Fields after the command: state is 0, utime 11, stime 12, rss 21.
-    if (f.size() > 21) {
-      u.CpuSeconds = (std::stod(f[11]) + std::stod(f[12])) / ticks;
-      u.RssKb = std::stol(f[21]) * pageKb;
+      fields.push_back(s);
+    // Indices of the fields after the command name: state is 0, utime 11, stime
+    // 12, rss 21.
+    if (fields.size() > 21) {
+      processUsage.CpuSeconds =
+          (std::stod(fields[11]) + std::stod(fields[12])) / ticks;
+      processUsage.RssKb = std::stol(fields[21]) * pageKb;
     }
-    return u;
+    return processUsage;
   };
   std::vector<ProcessUsage> out;
   out.push_back(read("store", "kv", StorePid));
--- a/tests/bench/harness/launcher.h
+++ b/tests/bench/harness/launcher.h
@@ -10,9 +10,10 @@
 
 namespace oriolebay::bench {
 
-/// What the launcher starts: the store stand-in, one back end stand-in, the
-/// entries and one agent per worker, all on loopback with ports the kernel
-/// picked (each process binds port 0 and writes the port to a ready file).
+/// Describes the processes to start: the store stand-in, one back end stand-in,
+/// the entries and one agent per worker. All of them listen on loopback at
+/// ports that the kernel chooses: each process binds port 0 and writes its port
+/// to a ready file.
 struct LaunchSpec {
   std::string BinDir;
   std::string WorkDir;
@@ -39,23 +40,25 @@
   long RssKb = 0;
 };
 
-/// Starts and stops the processes of one run. Test and bench scaffolding:
-/// the product's own processes start no other process.
+/// Starts and stops the processes of one run of a test or benchmark. The
+/// product's own processes start no other process.
 class Launcher {
 public:
   explicit Launcher(LaunchSpec spec);
   ~Launcher();
 
-  /// Starts every process and waits until each has written its ready file.
-  /// Throws std::runtime_error when one does not come up in time.
+  /// Starts all processes and waits until each has written its ready file.
+  /// Throws std::runtime_error if a process exits or is not ready in time.
   void start();
-  /// Writes profile to the store through the entry binary's CLI.
+  /// Writes profile to the store with the command line of the entry binary.
+  /// Throws std::runtime_error if that fails.
   void putProfile(const nlohmann::json &profile, int64_t expectVersion = 0);
-  /// Starts entry i again at the addresses it had.
+  /// Starts entry i again at its previous addresses.
   void restartEntry(int i);
   /// Starts the agent of worker i again, on a new port.
   void restartAgent(size_t i);
-  /// SIGTERM to every agent and entry (graceful), then the stand-ins; waits.
+  /// Ends all agents and entries gracefully with SIGTERM, then the stand-ins,
+  /// and waits for them.
   void stopAll();
 
   int httpPort(int entry = 0) const {
@@ -67,7 +70,8 @@
   std::string backendUrl() const;
   pid_t agentPid(size_t i) const { return AgentPids.at(i); }
   pid_t entryPid(int i) const { return EntryPids.at(static_cast<size_t>(i)); }
-  /// CPU and memory of every process started, for the load tool.
+  /// Returns the CPU time and the memory of all started processes, for the load
+  /// tool.
   std::vector<ProcessUsage> usage() const;
 
 private:
@@ -88,7 +92,8 @@
   std::vector<pid_t> AgentPids;
 };
 
-/// Workers laid out as failure domains of racks of three, named fd-N/rN/wN.
+/// Returns workers in racks of three that are spread over the failure domains,
+/// named wN in rN in fd-N.
 std::vector<core::WorkerInfo> makeWorkers(int count, int failureDomains,
                                           int acceleratorsPerWorker);
 
--- a/tests/bench/harness/workload.h
+++ b/tests/bench/harness/workload.h
@@ -11,14 +11,14 @@
 
 namespace oriolebay::bench {
 
-/// One job of a workload and when, in milliseconds after the start, it is
-/// sent.
+/// One job of a workload, and the time at which it is submitted in milliseconds
+/// after the start.
 struct PlannedJob {
   int64_t AtMs = 0;
   core::JobRequest Request;
 };
 
-/// What became of one job as its caller saw it.
+/// The result of one job as its caller received it.
 struct JobRecord {
   PlannedJob Job;
   int HttpStatus = 0;
@@ -26,21 +26,21 @@
   double LatencyMs = 0;
 };
 
-/// Expands a workload spec ({"seed", "jobs": [{"name", "organisation",
+/// Expands a workload specification ({"seed", "jobs": [{"name", "organisation",
 /// "profile", "class", "count", "members", "accelerators_per_member",
 /// "power_watts_per_member", "run_ms", "spacing_ms", "start_ms",
 /// "deadline_ms", "idempotent"}]}) into jobs. The same seed gives the same
 /// jobs.
 std::vector<PlannedJob> planWorkload(const nlohmann::json &spec);
 
-/// Sends every job to the entry at httpPort at its time, each from its own
-/// thread, and collects every caller's answer. sample() is called every
-/// 100 ms while jobs are out.
+/// Submits each job at its time to the entry at httpPort, each from its own
+/// thread, and returns all answers. Calls sample() every 100 ms until the last
+/// answer has arrived.
 std::vector<JobRecord> runWorkload(int httpPort,
                                    const std::vector<PlannedJob> &jobs,
                                    const std::function<void()> &sample);
 
-/// The p-th percentile (0..100) of values; 0 when there are none.
+/// Returns the p-th percentile (0..100) of values, or 0 if values is empty.
 double percentile(std::vector<double> values, double p);
 
 } // namespace oriolebay::bench
--- a/tests/bench/jobsbench/main.cpp
+++ b/tests/bench/jobsbench/main.cpp
@@ -1,5 +1,5 @@
-// Plays days of both sites' load against the job scheduler in memory and prints
-// what they came to, as one line of JSON a site and load.
+// Simulates days of the sites' load with the job scheduler in memory and prints
+// the results as one line of JSON for each site and load.
 #include "siteload.h"
 
 #include <boost/program_options.hpp>
@@ -18,7 +18,7 @@
 
 double rounded(double x) { return std::round(x * 1000) / 1000; }
 
-struct Sum {
+struct LoadSummary {
   bench::DayResult Total;
   double ScoreSquares = 0;
   int Days = 0;
@@ -29,7 +29,7 @@
     ScoreSquares += day.Score * day.Score;
     Total.Earned += day.Earned;
     Total.InTime += day.InTime;
-    Total.WastedCoreSeconds += day.WastedCoreSeconds;
+    Total.LostCoreSeconds += day.LostCoreSeconds;
     Total.Starts += day.Starts;
     Total.Violations += day.Violations;
     Total.InTimeByKind.resize(day.InTimeByKind.size());
@@ -37,7 +37,7 @@
       Total.InTimeByKind[k] += day.InTimeByKind[k];
   }
 
-  nlohmann::json line(const bench::SiteLoad &site, double load) const {
+  nlohmann::json toJson(const bench::SiteLoad &site, double load) const {
     const double mean = Total.Score / Days;
     const double variance = ScoreSquares / Days - mean * mean;
     nlohmann::json kinds;
@@ -50,34 +50,35 @@
             {"earned", rounded(Total.Earned / Days)},
             {"in_time", rounded(Total.InTime / Days)},
             {"kinds", kinds},
-            {"wasted_core_s", std::round(Total.WastedCoreSeconds / Days)},
+            {"wasted_core_s", std::round(Total.LostCoreSeconds / Days)},
             {"starts_a_day", Total.Starts / Days},
             {"broken", Total.Violations}};
   }
 };
 
-/// A way to decide, to be compared with the deployed one.
+/// A variant of the scheduler's policy, to be compared with the deployed one.
 struct NamedPolicy {
   const char *Name;
-  const char *What;
-  std::function<void(jobs::SchedulerPolicy &)> Set;
+  const char *Description;
+  std::function<void(jobs::SchedulerPolicy &)> Apply;
 };
 
 const std::vector<NamedPolicy> &policies() {
   using P = jobs::SchedulerPolicy;
   static const std::vector<NamedPolicy> all = {
-      {"deployed", "as the leading entry decides", [](P &) {}},
-      {"no_headroom", "no worker is kept empty for urgent work",
+      {"deployed", "the policy of the leading entry", [](P &) {}},
+      {"no_headroom", "no capacity is kept free for urgent work",
        [](P &p) { p.Headroom = 0; }},
-      {"half_headroom", "half as many are kept empty",
+      {"half_headroom", "half of the usual headroom is kept free",
        [](P &p) { p.Headroom = 0.5; }},
-      {"double_headroom", "twice as many are kept empty",
+      {"double_headroom", "twice the usual headroom is kept free",
        [](P &p) { p.Headroom = 2; }},
-      {"few_kept", "room is kept for two gangs at any size",
+      {"few_kept",
+       "capacity is reserved for two waiting gangs at any site size",
        [](P &p) { p.WorkersPerKept = 1 << 20; }},
-      {"one_failure", "one failed run keeps a worker out",
+      {"one_failure", "one failed run quarantines a worker",
        [](P &p) { p.Fleet.FailuresInARow = 1; }},
-      {"little_waste", "little work may be thrown away for urgent work",
+      {"little_waste", "little work may be discarded for urgent work",
        [](P &p) { p.WasteForAny = 40; }}};
   return all;
 }
@@ -90,10 +91,10 @@
 }
 
 jobs::SchedulerPolicy policyFor(const bench::SiteLoad &site,
-                                const NamedPolicy &named) {
+                                const NamedPolicy &namedPolicy) {
   jobs::SchedulerPolicy policy;
   policy.StopTakes = site.StopGrace;
-  named.Set(policy);
+  namedPolicy.Apply(policy);
   return policy;
 }
 
@@ -101,20 +102,21 @@
 
 int main(int argc, char **argv) {
   po::options_description opts("oriolebay-jobs-bench [options]");
-  opts.add_options()("help", "this text")(
-      "seeds", po::value<int>()->default_value(40), "days of each load")(
+  opts.add_options()("help",
+                     "this text")("seeds", po::value<int>()->default_value(40),
+                                  "number of days simulated for each load")(
       "from", po::value<int>()->default_value(1),
       "first seed")("site", po::value<std::string>()->default_value(""),
                     "only this site: brno, pennington or halls")(
       "load", po::value<double>()->default_value(0),
-      "only this load, in times the usual one")(
+      "only this load, as a multiple of the usual load")(
       "policy", po::value<std::string>()->default_value("deployed"),
-      "how the scheduler decides: see --policies")("policies",
-                                                   "lists the policies")(
+      "policy of the scheduler: see --policies")("policies",
+                                                 "lists the policies")(
       "sick", po::value<int>()->default_value(0),
-      "workers that fail all that they start for a while in each day")(
+      "number of workers that fail every run for a while in each day")(
       "leaving", po::value<int>()->default_value(0),
-      "workers that are taken away at short notice in each day");
+      "number of workers that shut down at short notice in each day");
   po::variables_map vm;
   try {
     po::store(po::parse_command_line(argc, argv, opts), vm);
@@ -128,35 +130,36 @@
   }
   if (vm.count("policies")) {
     for (const NamedPolicy &p : policies())
-      std::cout << p.Name << ": " << p.What << '\n';
+      std::cout << p.Name << ": " << p.Description << '\n';
     return 0;
   }
   std::vector<double> loads = {0.7, 1.0, 1.4};
   if (vm["load"].as<double>() > 0)
     loads = {vm["load"].as<double>()};
-  const auto only = vm["site"].as<std::string>();
+  const auto onlySite = vm["site"].as<std::string>();
   const auto *const chosen = findPolicy(vm["policy"].as<std::string>());
   if (chosen == nullptr) {
     std::cerr
-        << "oriolebay-jobs-bench: no such policy; --policies lists them\n";
+        << "oriolebay-jobs-bench: unknown policy; --policies lists them\n";
     return 2;
   }
   const int from = vm["from"].as<int>();
   for (const bench::SiteLoad &site :
        {bench::brno(), bench::pennington(), bench::halls()})
     for (double load : loads) {
-      if (!only.empty() && only != site.Name)
+      if (!onlySite.empty() && onlySite != site.Name)
         continue;
-      Sum sum;
+      LoadSummary summary;
       for (int n = 0; n < vm["seeds"].as<int>(); ++n) {
-        bench::DayShape shape;
-        shape.Load = load;
-        shape.Sick = vm["sick"].as<int>();
-        shape.Leaving = vm["leaving"].as<int>();
-        sum.add(bench::playDay(site, policyFor(site, *chosen),
-                               static_cast<uint64_t>(from + n), shape));
+        bench::DayConditions conditions;
+        conditions.Load = load;
+        conditions.FailingWorkers = vm["sick"].as<int>();
+        conditions.DrainingWorkers = vm["leaving"].as<int>();
+        summary.add(bench::simulateDay(site, policyFor(site, *chosen),
+                                       static_cast<uint64_t>(from + n),
+                                       conditions));
       }
-      std::cout << sum.line(site, load).dump() << std::endl;
+      std::cout << summary.toJson(site, load).dump() << std::endl;
     }
   return 0;
 }
--- a/tests/bench/placementbench/main.cpp
+++ b/tests/bench/placementbench/main.cpp
@@ -1,7 +1,9 @@
-// One placement decision at three sizes up to the target of letter 1
-// (8,600 workers of about 2.2 accelerators on average; here 8 each, which is
-// the harder case for the search), for the packed placer and the first-fit
-// baseline. Run as README says; compare the two in one run.
+// Measures one placement decision at three site sizes, for the packed placer
+// and the first-fit baseline. The largest size is the target size of 8,600
+// workers, which have about 2.2 accelerators on average; here each has 8, which
+// is the harder case for the search. The README tells how to run it; compare
+// the two placers within one run only. Also measures the memory of the cluster
+// state, admission, and the work of a leader.
 #include "placement/clusterstate.h"
 #include "placement/placer.h"
 #include "scheduler/gangscheduler.h"
@@ -16,7 +18,7 @@
 
 namespace {
 
-std::vector<placement::FreeWorker> site(int workers) {
+std::vector<placement::FreeWorker> makeWorkers(int workers) {
   std::mt19937 gen(42);
   std::uniform_int_distribution<int> freeDist(0, 8);
   std::vector<placement::FreeWorker> out;
@@ -29,14 +31,14 @@
 }
 
 void packed(benchmark::State &state) {
-  auto workers = site(static_cast<int>(state.range(0)));
+  auto workers = makeWorkers(static_cast<int>(state.range(0)));
   core::Shape shape{static_cast<int>(state.range(1)), 4, 300};
   for (auto _ : state)
     benchmark::DoNotOptimize(placement::placePacked(workers, shape));
 }
 
 void firstFit(benchmark::State &state) {
-  auto workers = site(static_cast<int>(state.range(0)));
+  auto workers = makeWorkers(static_cast<int>(state.range(0)));
   core::Shape shape{static_cast<int>(state.range(1)), 4, 300};
   for (auto _ : state)
     benchmark::DoNotOptimize(placement::placeFirstFit(workers, shape));
@@ -49,14 +51,15 @@
   return resident * (sysconf(_SC_PAGESIZE) / 1024);
 }
 
-// Memory of the entry's cluster state: workers first, then gangs of 128
-// single-accelerator members until range(1) members run. Reported as bytes
-// per worker and per member (task), the slopes docs/CAPACITY.md uses.
+// Memory of the entry's cluster state with range(0) workers, to which gangs of
+// 128 members with one accelerator each are added until range(1) members run.
+// Reports the bytes per worker and per member (task), which docs/CAPACITY.md
+// uses as slopes.
 void stateMemory(benchmark::State &state) {
   const int workers = static_cast<int>(state.range(0));
   const int tasks = static_cast<int>(state.range(1));
   for (auto _ : state) {
-    const long base = residentKb();
+    const long initialKb = residentKb();
     auto cluster = std::make_unique<placement::ClusterState>(
         placement::placeFirstFit, 1000);
     for (int i = 0; i < workers; ++i)
@@ -66,7 +69,7 @@
                              "tcp://127.0.0.1:" + std::to_string(i)},
                             1, absl::UnixEpoch());
     cluster->applyProfile({"site", 1, int64_t{1} << 40, {}});
-    const long withWorkers = residentKb();
+    const long withWorkersKb = residentKb();
     for (int placed = 0, g = 0; placed < tasks; placed += 128, ++g) {
       core::JobRequest job;
       job.Id = "job-" + std::to_string(g);
@@ -76,17 +79,18 @@
       job.Payload = R"({"run_ms":1000})";
       benchmark::DoNotOptimize(cluster->admit(job.Id, job, absl::UnixEpoch()));
     }
-    const long withTasks = residentKb();
+    const long withTasksKb = residentKb();
     state.counters["bytes_per_worker"] =
-        1024.0 * static_cast<double>(withWorkers - base) / workers;
+        1024.0 * static_cast<double>(withWorkersKb - initialKb) / workers;
     state.counters["bytes_per_task"] =
-        1024.0 * static_cast<double>(withTasks - withWorkers) / tasks;
+        1024.0 * static_cast<double>(withTasksKb - withWorkersKb) / tasks;
   }
 }
 
-// A site of workers with 8 accelerators, 310 organisations that are each
-// guaranteed an equal share of half of it in whole workers, and guests'
-// batch gangs of 16 single-worker members on fill of the workers.
+// Returns a site of workers with 8 accelerators each. Half of the workers are
+// guaranteed to 310 organisations in equal shares of whole workers. The share
+// fill of all workers runs batch gangs of an organisation without a guarantee,
+// with 16 members of one whole worker each.
 std::unique_ptr<placement::ClusterState> sharedSite(int workers, double fill) {
   constexpr int Organisations = 310;
   auto cluster =
@@ -97,9 +101,10 @@
                            "r" + std::to_string(i / 3), 8, ""},
                           1, absl::UnixEpoch());
   core::Profile profile{"site", 1, int64_t{1} << 40, {}};
-  const int share = std::max(1, workers / 2 / Organisations);
+  const int workersPerOrganisation = std::max(1, workers / 2 / Organisations);
   for (int i = 0; i < std::min(Organisations, workers / 2); ++i)
-    profile.Guarantees.push_back({"org" + std::to_string(i), share * 8, 8});
+    profile.Guarantees.push_back(
+        {"org" + std::to_string(i), workersPerOrganisation * 8, 8});
   cluster->applyProfile(profile);
   for (int g = 0; g < static_cast<int>(workers * fill) / 16; ++g) {
     core::JobRequest job;
@@ -122,7 +127,8 @@
   return job;
 }
 
-// Admission of an urgent gang on a half-full site: room is found at once.
+// Admission of an urgent gang on a half-full site, which has enough free
+// capacity.
 void admitWithRoom(benchmark::State &state) {
   auto cluster = sharedSite(static_cast<int>(state.range(0)), 0.5);
   for (auto _ : state) {
@@ -132,8 +138,8 @@
   }
 }
 
-// Admission of the same gang on a site that guests fill: the decision which
-// gang to stop for it. (Stopping itself is up to the agents.)
+// Admission of the same gang on a site that guests fill completely. This
+// measures the decision which gang to stop; the agents carry out the stop.
 void admitByReclaim(benchmark::State &state) {
   auto cluster = sharedSite(static_cast<int>(state.range(0)), 1.0);
   for (auto _ : state) {
@@ -149,8 +155,8 @@
           "r" + std::to_string(i / 3), 16, ""};
 }
 
-// Gangs of 128 single-accelerator members over all workers, as an earlier
-// leader recorded them.
+// Returns gangs of 128 members with one accelerator each over all workers, as a
+// previous leader recorded them.
 std::vector<scheduler::AdoptedRun> recordedRuns(int workers, int tasks) {
   std::vector<scheduler::AdoptedRun> out;
   for (int t = 0; t + 128 <= tasks; t += 128) {
@@ -169,14 +175,14 @@
 }
 
 scheduler::GangScheduler makeScheduler() {
-  scheduler::GangScheduler sched(
+  scheduler::GangScheduler gangScheduler(
       placement::ClusterState(placement::placePacked, 1000),
       scheduler::Policy(), "1", absl::UnixEpoch());
-  sched.onProfile({"site", 1, int64_t{1} << 40, {}});
-  return sched;
+  gangScheduler.onProfile({"site", 1, int64_t{1} << 40, {}});
+  return gangScheduler;
 }
 
-// Every agent's announcement, with the members of the runs that it has.
+// Returns the announcement of every agent, with the members that run there.
 std::vector<endpoints::Announce>
 announcements(int workers, const std::vector<scheduler::AdoptedRun> &runs) {
   std::vector<endpoints::Announce> out;
@@ -189,7 +195,7 @@
   return out;
 }
 
-// Bytes of one announcement with this many tasks running.
+// Encoded size of one announcement with range(0) running tasks, in bytes.
 void announceBytes(benchmark::State &state) {
   endpoints::Announce announce{
       worker(4321), 1796244302317694, false, 12345, {}};
@@ -203,50 +209,50 @@
   state.counters["bytes"] = static_cast<double>(bytes.size());
 }
 
-// A new leader's work until it has the whole site: adopting every recorded
-// run, and every agent's first announcement.
+// Work of a new leader until it knows the whole site: adopting all recorded
+// runs and handling the first announcement of every agent.
 void takeOver(benchmark::State &state) {
   const int workers = static_cast<int>(state.range(0));
   const auto runs = recordedRuns(workers, static_cast<int>(state.range(1)));
   const auto announces = announcements(workers, runs);
   for (auto _ : state) {
-    auto sched = makeScheduler();
+    auto gangScheduler = makeScheduler();
     for (const auto &run : runs)
-      sched.adopt(run, absl::UnixEpoch(), absl::Minutes(10));
+      gangScheduler.adopt(run, absl::UnixEpoch(), absl::Minutes(10));
     for (const auto &announce : announces)
-      sched.onAnnounce(announce, true, absl::UnixEpoch());
+      gangScheduler.onAnnounce(announce, true, absl::UnixEpoch());
   }
 }
 
-// One heartbeat of every agent of a running site.
+// Handling of one heartbeat of every agent while the site runs gangs.
 void heartbeats(benchmark::State &state) {
   const int workers = static_cast<int>(state.range(0));
   const auto runs = recordedRuns(workers, static_cast<int>(state.range(1)));
   const auto announces = announcements(workers, runs);
-  auto sched = makeScheduler();
+  auto gangScheduler = makeScheduler();
   for (const auto &run : runs)
-    sched.adopt(run, absl::UnixEpoch(), absl::Minutes(10));
+    gangScheduler.adopt(run, absl::UnixEpoch(), absl::Minutes(10));
   for (auto _ : state)
     for (const auto &announce : announces)
-      sched.onAnnounce(announce, true, absl::UnixEpoch());
+      gangScheduler.onAnnounce(announce, true, absl::UnixEpoch());
 }
 
-// One turn of the scheduler on a running site where nothing happens, every
-// 20 ms of its time as in the entry.
+// One tick of the scheduler while the site runs gangs and nothing changes.
+// Ticks are 20 ms of simulated time apart, as in the entry.
 void idleTurn(benchmark::State &state) {
   const int workers = static_cast<int>(state.range(0));
   const auto runs = recordedRuns(workers, static_cast<int>(state.range(1)));
-  auto sched = makeScheduler();
+  auto gangScheduler = makeScheduler();
   for (const auto &run : runs)
-    sched.adopt(run, absl::UnixEpoch(), absl::Minutes(10));
+    gangScheduler.adopt(run, absl::UnixEpoch(), absl::Minutes(10));
   for (const auto &announce : announcements(workers, runs))
-    sched.onAnnounce(announce, true, absl::UnixEpoch());
+    gangScheduler.onAnnounce(announce, true, absl::UnixEpoch());
   absl::Time now = absl::UnixEpoch();
   for (auto _ : state) {
     now += absl::Milliseconds(20);
     if (now > absl::UnixEpoch() + absl::Seconds(2))
       now = absl::UnixEpoch();
-    sched.tick(now);
+    gangScheduler.tick(now);
   }
 }
 
--- a/tests/bench/replay/main.cpp
+++ b/tests/bench/replay/main.cpp
@@ -1,9 +1,10 @@
-// The experiment and load tool. It starts the real processes on loopback
-// (store stand-in, back end stand-in, entries, one agent per worker), then
-// either replays a site's workload through one or both placers and reports
-// completion time per class and fragmentation, or, with --load, drives N
-// agents with a job mix and profile changes and reports what each role
-// spent, as CSV rows for docs/CAPACITY.md.
+// Experiment and load tool. Starts the real processes on loopback (store
+// stand-in, back end stand-in, entries, one agent per worker). By default it
+// replays a site's workload with one or both placers and reports the completion
+// time of each class and the fragmentation. With --load it drives N agents with
+// a job mix and profile changes and reports the resource usage of each role as
+// CSV rows for docs/CAPACITY.md. With --failover it measures how long a change
+// of leader takes.
 #include "core/codec.h"
 #include "harness/launcher.h"
 #include "harness/workload.h"
@@ -43,7 +44,8 @@
 }
 
 struct RunSummary {
-  /// Completion times by class, and by the name of the workload's job.
+  /// Completion times in milliseconds, by class and also by the job name in the
+  /// workload.
   std::map<std::string, std::vector<double>> LatencyByClass;
   std::map<std::string, int> Outcomes;
   std::vector<double> Fragmentation;
@@ -64,8 +66,8 @@
                                     site.value("accelerators_per_worker", 8));
   spec.Placer = placer;
   spec.MaxQueueWaitMs = site.value("max_queue_wait_ms", 20000);
-  // The baseline is naive in both: first fit, and nothing is emptied for a
-  // gang that waits.
+  // The baseline is simple in both respects: it places by first fit, and it
+  // reserves no workers for a waiting gang.
   if (placer == "first_fit")
     spec.StarveAfterMs = std::numeric_limits<int>::max();
   bench::Launcher launcher(spec);
@@ -73,8 +75,8 @@
   launcher.putProfile(site.at("profile"));
   const std::string stats =
       "http://127.0.0.1:" + std::to_string(launcher.httpPort()) + "/v1/stats";
-  // The entry follows the profile through its watch; wait until it holds
-  // the profile and sees every worker before the first job goes out.
+  // The entry receives the profile through a watch: wait until it has the
+  // profile and knows all workers before the first job is submitted.
   const absl::Time deadline = absl::Now() + absl::Seconds(10);
   while (absl::Now() < deadline) {
     json s = getJson(stats);
@@ -90,12 +92,12 @@
   });
   launcher.stopAll();
   for (const bench::JobRecord &r : records) {
-    std::string cls =
+    std::string className =
         r.Job.Request.Class == core::JobClass::Urgent ? "urgent" : "batch";
     out.Outcomes[json(r.Answer.Result).get<std::string>()]++;
     if (r.Answer.Result != core::Outcome::Done)
       continue;
-    out.LatencyByClass[cls].push_back(r.LatencyMs);
+    out.LatencyByClass[className].push_back(r.LatencyMs);
     const std::string &id = r.Job.Request.Id;
     out.LatencyByClass[id.substr(0, id.rfind('-'))].push_back(r.LatencyMs);
   }
@@ -116,24 +118,27 @@
   for (const auto &[outcome, n] : s.Outcomes)
     std::cout << " " << outcome << "=" << n;
   std::cout << "\n";
-  for (const auto &[cls, lat] : s.LatencyByClass) {
-    std::cout << "  completion " << cls << " ms: mean " << mean(lat) << "  p50 "
-              << bench::percentile(lat, 50) << "  p95 "
-              << bench::percentile(lat, 95) << "  p99 "
-              << bench::percentile(lat, 99) << "  (n=" << lat.size() << ")\n";
-    csv << placer << "," << cls << "," << lat.size() << "," << mean(lat) << ","
-        << bench::percentile(lat, 50) << "," << bench::percentile(lat, 95)
-        << "," << bench::percentile(lat, 99) << "," << mean(s.Fragmentation)
+  for (const auto &[className, latencies] : s.LatencyByClass) {
+    std::cout << "  completion " << className << " ms: mean " << mean(latencies)
+              << "  p50 " << bench::percentile(latencies, 50) << "  p95 "
+              << bench::percentile(latencies, 95) << "  p99 "
+              << bench::percentile(latencies, 99) << "  (n=" << latencies.size()
+              << ")\n";
+    csv << placer << "," << className << "," << latencies.size() << ","
+        << mean(latencies) << "," << bench::percentile(latencies, 50) << ","
+        << bench::percentile(latencies, 95) << ","
+        << bench::percentile(latencies, 99) << "," << mean(s.Fragmentation)
         << "\n";
   }
   std::cout << "  fragmentation (mean over the run): " << mean(s.Fragmentation)
             << "\n";
 }
 
-// When each agent had each profile version in force, from the agents' logs, in
-// milliseconds after the version was written.
-std::vector<double> agentPropagation(const std::string &work,
-                                     const std::map<int64_t, int64_t> &putUs) {
+// Returns the times from the write of each profile version until it took effect
+// at each agent, in milliseconds, from the agents' logs.
+std::vector<double>
+agentPropagationDelays(const std::string &work,
+                       const std::map<int64_t, int64_t> &writtenAtUs) {
   std::vector<double> out;
   for (const auto &f : std::filesystem::directory_iterator(work)) {
     const std::string name = f.path().filename();
@@ -144,8 +149,8 @@
       const json event = json::parse(line, nullptr, false);
       if (!event.is_object() || event.value("name", "") != "profile.in_force")
         continue;
-      auto it = putUs.find(event.value("version", int64_t{0}));
-      if (it != putUs.end())
+      auto it = writtenAtUs.find(event.value("version", int64_t{0}));
+      if (it != writtenAtUs.end())
         out.push_back(
             static_cast<double>(event.value("ts_us", int64_t{0}) - it->second) /
             1000.0);
@@ -154,8 +159,8 @@
   return out;
 }
 
-// Kills the entry that leads, rounds times, and times until a caller at the
-// other entry has had a new job run whole.
+// Kills the leading entry once per round and measures the time until a new job
+// of a caller at the other entry is done.
 int runFailover(int agents, int rounds, const std::string &bin,
                 const std::string &work, std::ostream &csv) {
   bench::LaunchSpec spec;
@@ -175,16 +180,16 @@
   };
   std::vector<double> times;
   for (int round = 0; round < rounds; ++round) {
-    int lead = -1;
-    while (lead < 0) {
+    int leaderIndex = -1;
+    while (leaderIndex < 0) {
       for (int i = 0; i < 2; ++i)
         if (stats(i).value("workers", 0) == agents &&
             stats(1 - i).value("profile_version", 0) > 0)
-          lead = i;
+          leaderIndex = i;
       absl::SleepFor(absl::Milliseconds(50));
     }
-    kill(launcher.entryPid(lead), SIGKILL);
-    waitpid(launcher.entryPid(lead), nullptr, 0);
+    kill(launcher.entryPid(leaderIndex), SIGKILL);
+    waitpid(launcher.entryPid(leaderIndex), nullptr, 0);
     const absl::Time killed = absl::Now();
     json workload = {{"seed", round},
                      {"jobs",
@@ -192,13 +197,13 @@
                         {"organisation", "org"},
                         {"class", "urgent"},
                         {"run_ms", 1}}}}};
-    auto records = bench::runWorkload(launcher.httpPort(1 - lead),
+    auto records = bench::runWorkload(launcher.httpPort(1 - leaderIndex),
                                       bench::planWorkload(workload), nullptr);
     if (records.at(0).Answer.Result != core::Outcome::Done)
       std::cout << "round " << round << ": " << records.at(0).Answer.Detail
                 << "\n";
     times.push_back(absl::ToDoubleMilliseconds(absl::Now() - killed));
-    launcher.restartEntry(lead);
+    launcher.restartEntry(leaderIndex);
   }
   launcher.stopAll();
   csv << agents << "," << rounds << "," << bench::percentile(times, 50) << ","
@@ -223,24 +228,24 @@
                   {"power_cap_watts", 1000000000},
                   {"guarantees", json::array()}};
   launcher.putProfile(profile);
-  // The workers are seen by the entry that leads; its counters are the ones
-  // reported.
-  int lead = 0;
+  // Only the leading entry knows the workers; its counters are reported.
+  int leaderIndex = 0;
   auto statsOf = [&](int i) {
     return "http://127.0.0.1:" + std::to_string(launcher.httpPort(i)) +
            "/v1/stats";
   };
-  while (getJson(statsOf(lead)).value("workers", 0) < agents) {
-    lead = (lead + 1) % entries;
+  while (getJson(statsOf(leaderIndex)).value("workers", 0) < agents) {
+    leaderIndex = (leaderIndex + 1) % entries;
     absl::SleepFor(absl::Milliseconds(50));
   }
-  const std::string stats = statsOf(lead);
+  const std::string stats = statsOf(leaderIndex);
   auto before = launcher.usage();
   json entryBefore = getJson(stats);
   json storeBefore = getJson(launcher.storeUrl() + "/stats");
   const absl::Time start = absl::Now();
-  // jobRate single-member jobs per agent per second, and `changes` profile
-  // writes spread over the run, each timed until the entry applies it.
+  // The load is jobRate single-member jobs per agent and second, and `changes`
+  // profile writes spread over the run. For each write, the time until the
+  // entry applies it is measured.
   const int jobCount = static_cast<int>(agents * seconds * jobRate);
   json workload = {{"seed", 7},
                    {"jobs",
@@ -252,8 +257,8 @@
                                                   : seconds * 1000},
                       {"run_ms", 50}}}}};
   std::vector<double> propagation;
-  std::map<int64_t, int64_t> putUs;
-  std::thread changer([&] {
+  std::map<int64_t, int64_t> writtenAtUs;
+  std::thread profileWriter([&] {
     int64_t version = getJson(stats).value("profile_version", 0);
     for (int i = 0; i < changes; ++i) {
       absl::SleepFor(absl::Milliseconds(seconds * 1000 / (changes + 1)));
@@ -264,7 +269,7 @@
         int64_t v = getJson(stats).value("profile_version", 0);
         if (v > version) {
           version = v;
-          putUs[v] = absl::ToUnixMicros(put);
+          writtenAtUs[v] = absl::ToUnixMicros(put);
           break;
         }
         absl::SleepFor(absl::Milliseconds(5));
@@ -274,20 +279,20 @@
   });
   auto records = bench::runWorkload(launcher.httpPort(),
                                     bench::planWorkload(workload), nullptr);
-  // With no jobs the run would end at once; heartbeats alone are measured
-  // over the same length of time.
+  // Without jobs the run would end at once; wait, so that the cost of
+  // heartbeats alone is measured over the same time.
   absl::SleepFor(start + absl::Seconds(seconds) - absl::Now());
-  changer.join();
+  profileWriter.join();
   const double elapsed = absl::ToDoubleSeconds(absl::Now() - start);
   auto after = launcher.usage();
   json entryAfter = getJson(stats);
   json storeAfter = getJson(launcher.storeUrl() + "/stats");
-  const std::string leadName = "entry-" + std::to_string(lead);
+  const std::string leaderName = "entry-" + std::to_string(leaderIndex);
   double entryCpu = 0, followerCpu = 0, agentCpu = 0;
   long entryRss = 0, agentRss = 0;
   for (size_t i = 0; i < after.size(); ++i) {
     double cpu = after[i].CpuSeconds - before[i].CpuSeconds;
-    if (after[i].Name == leadName) {
+    if (after[i].Name == leaderName) {
       entryCpu = cpu;
       entryRss = after[i].RssKb;
     } else if (after[i].Role == "entry") {
@@ -301,7 +306,7 @@
   for (const auto &r : records)
     done += r.Answer.Result == core::Outcome::Done ? 1 : 0;
   launcher.stopAll();
-  const auto atAgents = agentPropagation(work, putUs);
+  const auto agentDelays = agentPropagationDelays(work, writtenAtUs);
   const double msgs = entryAfter.value("agent_messages", 0.0) -
                       entryBefore.value("agent_messages", 0.0);
   const double bytes = entryAfter.value("agent_bytes", 0.0) -
@@ -315,8 +320,8 @@
       << msgs / elapsed << "," << bytes / elapsed << "," << kvCalls / elapsed
       << "," << bench::percentile(propagation, 50) << ","
       << bench::percentile(propagation, 99) << ","
-      << bench::percentile(atAgents, 50) << ","
-      << bench::percentile(atAgents, 99) << "\n";
+      << bench::percentile(agentDelays, 50) << ","
+      << bench::percentile(agentDelays, 99) << "\n";
   return 0;
 }
 
@@ -325,19 +330,18 @@
 int main(int argc, char **argv) {
   po::options_description opts("oriolebay-replay [options]");
   opts.add_options()("help", "this text")(
-      "bin", po::value<std::string>()->default_value("build"),
-      "the build folder")("work",
-                          po::value<std::string>()->default_value("out/run"),
-                          "folder for settings, logs and ready files")(
+      "bin", po::value<std::string>()->default_value("build"), "build folder")(
+      "work", po::value<std::string>()->default_value("out/run"),
+      "folder for settings, logs and ready files of the processes")(
       "site", po::value<std::string>(), "site file (examples/NAME/site.json)")(
       "workload", po::value<std::string>(), "workload file")(
       "placer", po::value<std::string>()->default_value("both"),
       "packed, first_fit or both")("csv", po::value<std::string>(),
                                    "write the figures here as CSV")(
       "series", po::value<std::string>(),
-      "write fragmentation over time (a sample each 100 ms) here as CSV")(
+      "write fragmentation over time (a sample every 100 ms) here as CSV")(
       "load", "load mode: drive --agents with jobs and profile changes")(
-      "failover", "kill the leading entry --rounds times")(
+      "failover", "failover mode: kill the leading entry --rounds times")(
       "rounds", po::value<int>()->default_value(5), "rounds of --failover")(
       "entries", po::value<int>()->default_value(1), "entries in a load run")(
       "agents", po::value<std::vector<int>>()->multitoken(),
@@ -385,12 +389,13 @@
     return 0;
   }
   if (!vm.count("site") || !vm.count("workload")) {
-    std::cerr << "oriolebay-replay: give --site and --workload, or --load\n";
+    std::cerr << "oriolebay-replay: give --site and --workload, or --load, or "
+                 "--failover\n";
     return 2;
   }
   json site = readJson(vm["site"].as<std::string>());
   json workload = readJson(vm["workload"].as<std::string>());
-  const std::string which = vm["placer"].as<std::string>();
+  const std::string chosenPlacer = vm["placer"].as<std::string>();
   csv << "placer,group,done,mean_ms,p50_ms,p95_ms,p99_ms,fragmentation_mean\n";
   std::ofstream series;
   if (vm.count("series"))
@@ -398,7 +403,7 @@
   series << "placer,sample,fragmentation\n";
   std::map<std::string, RunSummary> runs;
   for (const std::string placer : {"packed", "first_fit"}) {
-    if (which != "both" && which != placer)
+    if (chosenPlacer != "both" && chosenPlacer != placer)
       continue;
     runs[placer] = replay(site, workload, placer, bin, work + "/" + placer);
     printSummary(placer, runs[placer], csv);
@@ -409,13 +414,15 @@
   if (runs.size() == 2) {
     auto &p = runs["packed"];
     auto &f = runs["first_fit"];
-    for (const auto &[cls, lat] : p.LatencyByClass)
-      std::cout << "ratio packed/first_fit completion " << cls << ": mean "
-                << mean(lat) / std::max(1.0, mean(f.LatencyByClass[cls]))
+    for (const auto &[className, latencies] : p.LatencyByClass)
+      std::cout << "ratio packed/first_fit completion " << className
+                << ": mean "
+                << mean(latencies) /
+                       std::max(1.0, mean(f.LatencyByClass[className]))
                 << "  p95 "
-                << bench::percentile(lat, 95) /
-                       std::max(1.0,
-                                bench::percentile(f.LatencyByClass[cls], 95))
+                << bench::percentile(latencies, 95) /
+                       std::max(1.0, bench::percentile(
+                                         f.LatencyByClass[className], 95))
                 << "\n";
     std::cout << "ratio packed/first_fit fragmentation: "
               << mean(p.Fragmentation) / std::max(1e-9, mean(f.Fragmentation))
--- a/tests/standins/backend/main.cpp
+++ b/tests/standins/backend/main.cpp
@@ -1,13 +1,15 @@
-// A stand-in for an endpoint's back end: Brno's oven-programme service
-// (check a recipe, render the door guidance) or Pennington's foot-scan
-// service (compare growth, suggest sizes). POST /run takes one task and
-// answers when it ended; POST /stop checkpoints and stops one task, or all of
-// an endpoint; POST /hold renews the endpoint's lease, without which its tasks
-// stop by themselves. The run time and failure rate come from the command
-// line; the payload may set "run_ms" and "draw_watts" for one task. POST /fault
-// names endpoints that fail every task, POST /peak starts the highest draw in
-// /stats anew. GET /stats gives how often each task
-// ran, so tests can check that nothing ran twice.
+// Stand-in for the back end of an endpoint: the oven programme service of the
+// Brno site (checks a recipe, renders the door guidance) or the foot scan
+// service of the Pennington site (compares growth, suggests sizes).
+//   POST /run    runs one task and answers when the task has ended
+//   POST /stop   checkpoints and stops one task, or all tasks of an endpoint
+//   POST /hold   renews the endpoint's lease; its tasks stop when it expires
+//   POST /fault  sets the endpoints that fail every task
+//   POST /peak   resets the highest power draw in /stats to the present draw
+//   GET /stats   returns how often each task ran, so that tests can check that
+//                no task ran twice, and the power draw
+// The run time and the failure rate are set on the command line; the payload
+// may set "run_ms" and "draw_watts" for one task.
 #include "http/httpserver.h"
 #include "utils/steadyclock.h"
 
@@ -49,7 +51,7 @@
     if (req.Path == "/stop")
       return stop(b);
     if (req.Path == "/hold")
-      return hold(b);
+      return renewLease(b);
     if (req.Path == "/peak") {
       absl::MutexLock lock(&Mu);
       PeakWatts = totalWatts();
@@ -57,7 +59,7 @@
     }
     if (req.Path == "/fault") {
       absl::MutexLock lock(&Mu);
-      Broken = b.value("broken_endpoints", std::set<std::string>());
+      FailingEndpoints = b.value("broken_endpoints", std::set<std::string>());
       return {200, R"({"ok":true})"};
     }
     return {404, R"({"ok":false,"output":"no such path"})"};
@@ -83,19 +85,21 @@
     const std::string key = taskKey(b);
     absl::MutexLock lock(&Mu);
     ++Runs[b.value("job_id", "") + "#" + std::to_string(b.value("member", 0))];
-    if (Broken.count(endpoint) != 0 || absl::Bernoulli(Gen, FailureRate))
+    if (FailingEndpoints.count(endpoint) != 0 ||
+        absl::Bernoulli(Gen, FailureRate))
       return {500, R"({"ok":false,"output":"back end failed"})"};
     Task &task = Tasks[key];
     task = Task{false, watts};
     PeakWatts = std::max(PeakWatts, totalWatts());
     const absl::Time start = steadyNow();
-    HeldUntil[endpoint] = std::max(
-        HeldUntil[endpoint],
+    LeaseExpiresAt[endpoint] = std::max(
+        LeaseExpiresAt[endpoint],
         start + absl::Milliseconds(b.value("lease_ms", DefaultLeaseMs)));
     const absl::Time end = start + absl::Milliseconds(totalMs - savedMs);
-    while (!task.Stop && steadyNow() < end && steadyNow() < HeldUntil[endpoint])
-      Changed.WaitWithTimeout(&Mu,
-                              std::min(end, HeldUntil[endpoint]) - steadyNow());
+    while (!task.Stop && steadyNow() < end &&
+           steadyNow() < LeaseExpiresAt[endpoint])
+      Changed.WaitWithTimeout(&Mu, std::min(end, LeaseExpiresAt[endpoint]) -
+                                       steadyNow());
     Tasks.erase(key);
     if (steadyNow() < end) {
       const int64_t doneMs =
@@ -115,18 +119,19 @@
 
   HttpResponse stop(const json &b) {
     absl::MutexLock lock(&Mu);
-    const std::string whole = b.value("endpoint", "") + " ";
+    const std::string endpointPrefix = b.value("endpoint", "") + " ";
     for (auto &[key, task] : Tasks)
-      if (b.contains("run") ? key == taskKey(b) : key.rfind(whole, 0) == 0)
+      if (b.contains("run") ? key == taskKey(b)
+                            : key.rfind(endpointPrefix, 0) == 0)
         task.Stop = true;
     Changed.SignalAll();
     return {200, R"({"ok":true})"};
   }
 
-  HttpResponse hold(const json &b) {
+  HttpResponse renewLease(const json &b) {
     absl::MutexLock lock(&Mu);
     const std::string endpoint = b.value("endpoint", "");
-    HeldUntil[endpoint] =
+    LeaseExpiresAt[endpoint] =
         steadyNow() + absl::Milliseconds(b.value("lease_ms", DefaultLeaseMs));
     Changed.SignalAll();
     json tasks = json::array();
@@ -166,8 +171,8 @@
   absl::BitGen Gen{std::seed_seq{42}};
   std::map<std::string, int> Runs;
   std::map<std::string, Task> Tasks;
-  std::map<std::string, absl::Time> HeldUntil;
-  std::set<std::string> Broken;
+  std::map<std::string, absl::Time> LeaseExpiresAt;
+  std::set<std::string> FailingEndpoints;
   int64_t PeakWatts = 0;
 };
 
--- a/tests/standins/kvstore/main.cpp
+++ b/tests/standins/kvstore/main.cpp
@@ -1,8 +1,8 @@
-// A stand-in for the platform's key-value store, for tests and the load tool.
-// It speaks the subset of etcd's v3 JSON gateway that oriolebay uses (range,
-// put, txn with one compare, lease grant and keep-alive) and a long-poll
-// form of watch. POST /fault sets outage, delay and lost-reply switches;
-// GET /stats counts calls by kind.
+// Stand-in for the platform's key-value store, for tests and the load tool.
+// Implements the subset of etcd's v3 JSON gateway that oriolebay uses (range,
+// put, txn, lease grant, keep-alive and revoke) and a long-poll variant of
+// watch. POST /fault simulates an outage, a delay or lost replies; GET /stats
+// returns the number of calls by path.
 #include "http/httpserver.h"
 
 #include <absl/strings/escaping.h>
@@ -22,16 +22,16 @@
 
 namespace {
 
-struct Entry {
+struct KeyValue {
   std::string Value;
-  int64_t Create = 0;
-  int64_t Mod = 0;
+  int64_t CreateRevision = 0;
+  int64_t ModRevision = 0;
   int64_t Lease = 0;
 };
 
 struct Event {
   std::string Key;
-  Entry Kv;
+  KeyValue Kv;
   bool Deleted = false;
 };
 
@@ -43,7 +43,7 @@
     if (req.Path == "/stats")
       return stats();
     int delayMs = 0;
-    bool lose = false;
+    bool losesReply = false;
     {
       absl::MutexLock lock(&Mu);
       ++Calls[req.Path];
@@ -52,7 +52,7 @@
       delayMs = DelayMs;
       if (LoseReplies > 0 && req.Path != "/v3/watch") {
         --LoseReplies;
-        lose = true;
+        losesReply = true;
       }
     }
     if (delayMs > 0)
@@ -61,31 +61,31 @@
     if (body.is_discarded())
       return {400, R"({"error":"body is not JSON"})"};
     HttpResponse res = dispatch(req.Path, body);
-    // The write has been applied; only its answer goes missing.
-    if (lose)
+    // The call has been carried out; only its reply is lost.
+    if (losesReply)
       return {504, R"({"error":"reply lost"})"};
     return res;
   }
 
 private:
-  static std::string unb64(const json &j, const char *f) {
+  static std::string decodeBase64(const json &j, const char *field) {
     std::string out;
-    if (j.contains(f))
-      absl::Base64Unescape(j.at(f).get<std::string>(), &out);
+    if (j.contains(field))
+      absl::Base64Unescape(j.at(field).get<std::string>(), &out);
     return out;
   }
-  static int64_t num(const json &j, const char *f) {
-    if (!j.contains(f))
+  static int64_t intField(const json &j, const char *field) {
+    if (!j.contains(field))
       return 0;
-    return j[f].is_string() ? std::stoll(j[f].get<std::string>())
-                            : j[f].get<int64_t>();
+    return j[field].is_string() ? std::stoll(j[field].get<std::string>())
+                                : j[field].get<int64_t>();
   }
   json header() const { return {{"revision", std::to_string(Revision)}}; }
-  static json kvJson(const std::string &key, const Entry &e) {
+  static json kvJson(const std::string &key, const KeyValue &e) {
     return {{"key", absl::Base64Escape(key)},
             {"value", absl::Base64Escape(e.Value)},
-            {"create_revision", std::to_string(e.Create)},
-            {"mod_revision", std::to_string(e.Mod)},
+            {"create_revision", std::to_string(e.CreateRevision)},
+            {"mod_revision", std::to_string(e.ModRevision)},
             {"lease", std::to_string(e.Lease)}};
   }
 
@@ -107,9 +107,9 @@
   }
 
   json range(const json &b) {
-    const std::string key = unb64(b, "key");
-    const std::string end = unb64(b, "range_end");
-    const int64_t limit = num(b, "limit");
+    const std::string key = decodeBase64(b, "key");
+    const std::string end = decodeBase64(b, "range_end");
+    const int64_t limit = intField(b, "limit");
     bool more = false;
     json kvs = json::array();
     if (end.empty()) {
@@ -132,36 +132,37 @@
   }
 
   json put(const json &b) {
-    const std::string key = unb64(b, "key");
+    const std::string key = decodeBase64(b, "key");
     ++Revision;
-    Entry &e = Data[key];
-    if (e.Create == 0)
-      e.Create = Revision;
-    e.Value = unb64(b, "value");
-    e.Mod = Revision;
-    e.Lease = num(b, "lease");
+    KeyValue &e = Data[key];
+    if (e.CreateRevision == 0)
+      e.CreateRevision = Revision;
+    e.Value = decodeBase64(b, "value");
+    e.ModRevision = Revision;
+    e.Lease = intField(b, "lease");
     Events.push_back(Event{key, e, false});
     return {{"header", header()}};
   }
 
   json remove(const std::string &key) {
-    const bool had = Data.erase(key) != 0;
-    if (had) {
+    const bool existed = Data.erase(key) != 0;
+    if (existed) {
       ++Revision;
-      Events.push_back(Event{key, Entry{"", 0, Revision, 0}, true});
+      Events.push_back(Event{key, KeyValue{"", 0, Revision, 0}, true});
     }
-    return {{"deleted", std::to_string(had ? 1 : 0)}};
+    return {{"deleted", std::to_string(existed ? 1 : 0)}};
   }
 
   json txn(const json &b) {
     bool ok = true;
     for (const json &c : b.value("compare", json::array())) {
-      auto it = Data.find(unb64(c, "key"));
+      auto it = Data.find(decodeBase64(c, "key"));
       const bool create = c.value("target", "MOD") == "CREATE";
-      int64_t have = 0;
+      int64_t revision = 0;
       if (it != Data.end())
-        have = create ? it->second.Create : it->second.Mod;
-      ok = ok && have == num(c, create ? "create_revision" : "mod_revision");
+        revision = create ? it->second.CreateRevision : it->second.ModRevision;
+      ok = ok &&
+           revision == intField(c, create ? "create_revision" : "mod_revision");
     }
     json responses = json::array();
     for (const json &op : b.value(ok ? "success" : "failure", json::array())) {
@@ -170,7 +171,7 @@
       else if (op.contains("request_delete_range"))
         responses.push_back(
             {{"response_delete_range",
-              remove(unb64(op["request_delete_range"], "key"))}});
+              remove(decodeBase64(op["request_delete_range"], "key"))}});
       else if (op.contains("request_range"))
         responses.push_back({{"response_range", range(op["request_range"])}});
     }
@@ -190,28 +191,28 @@
       return {200, txn(b).dump()};
     if (path == "/v3/lease/grant") {
       int64_t id = ++NextLease;
-      int64_t ttl = num(b, "TTL");
+      int64_t ttl = intField(b, "TTL");
       Leases[id] = {ttl, absl::Now() + absl::Seconds(ttl)};
       return {200,
               json{{"ID", std::to_string(id)}, {"TTL", std::to_string(ttl)}}
                   .dump()};
     }
     if (path == "/v3/lease/revoke") {
-      auto it = Leases.find(num(b, "ID"));
+      auto it = Leases.find(intField(b, "ID"));
       if (it != Leases.end())
         it->second.second = absl::InfinitePast();
       expireLeases();
       return {200, json{{"header", header()}}.dump()};
     }
     if (path == "/v3/lease/keepalive") {
-      auto it = Leases.find(num(b, "ID"));
+      auto it = Leases.find(intField(b, "ID"));
       int64_t ttl = 0;
       if (it != Leases.end()) {
         ttl = it->second.first;
         it->second.second = absl::Now() + absl::Seconds(ttl);
       }
       return {200, json{{"result",
-                         {{"ID", std::to_string(num(b, "ID"))},
+                         {{"ID", std::to_string(intField(b, "ID"))},
                           {"TTL", std::to_string(ttl)}}}}
                        .dump()};
     }
@@ -219,30 +220,30 @@
   }
 
   json watch(const json &b) {
-    const std::string key = unb64(b, "key");
-    const std::string end = unb64(b, "range_end");
-    const int64_t from = num(b, "start_revision");
-    const int64_t timeoutMs = std::max<int64_t>(1, num(b, "timeout_ms"));
+    const std::string key = decodeBase64(b, "key");
+    const std::string end = decodeBase64(b, "range_end");
+    const int64_t from = intField(b, "start_revision");
+    const int64_t timeoutMs = std::max<int64_t>(1, intField(b, "timeout_ms"));
     absl::MutexLock lock(&Mu);
     auto matches = [&](const Event &e) {
-      return e.Kv.Mod >= from && e.Key >= key &&
+      return e.Kv.ModRevision >= from && e.Key >= key &&
              (end.empty() ? e.Key == key : e.Key < end);
     };
     auto ready = [&] {
-      for (auto it = Events.rbegin(); it != Events.rend() && it->Kv.Mod >= from;
-           ++it)
+      for (auto it = Events.rbegin();
+           it != Events.rend() && it->Kv.ModRevision >= from; ++it)
         if (matches(*it))
           return true;
       return false;
     };
-    // Leases lapse also while nobody calls: the wait ends at each lapse.
+    // Leases also expire while no call arrives: the wait ends at each expiry.
     const absl::Time deadline = absl::Now() + absl::Milliseconds(timeoutMs);
     while (!ready() && absl::Now() < deadline) {
       absl::Time until = deadline;
       for (const auto &[id, lease] : Leases)
         until = std::min(until, lease.second);
       Mu.AwaitWithDeadline(absl::Condition(&ready),
-                           std::max(until, absl::Now() + LapseCheck));
+                           std::max(until, absl::Now() + LeaseCheckInterval));
       expireLeases();
     }
     json events = json::array();
@@ -279,9 +280,9 @@
                      .dump()};
   }
 
-  const absl::Duration LapseCheck = absl::Milliseconds(10);
+  const absl::Duration LeaseCheckInterval = absl::Milliseconds(10);
   absl::Mutex Mu;
-  std::map<std::string, Entry> Data;
+  std::map<std::string, KeyValue> Data;
   std::vector<Event> Events;
   std::map<int64_t, std::pair<int64_t, absl::Time>> Leases;
   std::map<std::string, int64_t> Calls;
