--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -263,13 +263,13 @@
   options.Grant = Time.Grant;
   options.GrantWithoutStore = Time.GrantWithoutStore;
   options.DoubtfulAfter = Time.LeaderLease;
-  options.Policy.Fleet.SuspectAfter = Time.SuspectAfter;
+  options.Policy.Fleet.UnresponsiveAfter = Time.UnresponsiveAfter;
   options.Policy.Fleet.LostAfter = Time.GrantOverAfter;
   options.Policy.UnheardLostAfter =
       Time.GrantWithoutStore + Time.GrantOverAfter;
   options.Policy.RemoteFactor = Settings.Bounds.RemoteFactor;
   options.Policy.GangWait = absl::Milliseconds(Settings.Bounds.GangWaitMs);
-  options.Policy.Progress.Restore =
+  options.Policy.Progress.RestoreTime =
       absl::Milliseconds(Settings.Bounds.RestoreMs);
   options.Policy.StopTakes = absl::Milliseconds(Settings.Bounds.StopGraceMs);
   options.Policy.ReclaimAfter = Time.ReclaimAfter;
--- a/src/libs/jobs/fleet.cpp
+++ b/src/libs/jobs/fleet.cpp
@@ -6,8 +6,9 @@
 
 // An agent that has just started has not received a heartbeat of its worker
 // yet. Its report then says nothing about an incarnation that was known before.
-std::optional<endpoints::LifeEnd> endOf(const endpoints::WorkerReport &report,
-                                        const WorkerLife &incarnation) {
+std::optional<endpoints::LifeEnd>
+findIncarnationEnd(const endpoints::WorkerReport &report,
+                   const WorkerLife &incarnation) {
   for (const endpoints::LifeEnd &end : report.EndedLives)
     if (end.Life == incarnation)
       return end;
@@ -16,18 +17,18 @@
   return std::nullopt;
 }
 
-bool Fleet::isOvertaken(const endpoints::WorkerReport &report) const {
+bool Fleet::isOutdated(const endpoints::WorkerReport &report) const {
   auto it = ReportedEnds.find(report.Agent);
   return it != ReportedEnds.end() && it->second.Life == report.Worker.Life &&
          report.Sequence < it->second.Sequence;
 }
 
 std::vector<endpoints::LifeEnd>
-Fleet::heard(const endpoints::WorkerReport &report, absl::Time now) {
+Fleet::applyReport(const endpoints::WorkerReport &report, absl::Time now) {
   std::vector<endpoints::LifeEnd> ended;
   for (const auto &[incarnation, worker] : Workers)
     if (worker.Agent == report.Agent)
-      if (const auto end = endOf(report, incarnation))
+      if (const auto end = findIncarnationEnd(report, incarnation))
         ended.push_back(*end);
   for (const endpoints::LifeEnd &end : ended) {
     Workers.erase(end.Life);
@@ -39,7 +40,7 @@
   worker.State = report.Worker;
   worker.Agent = report.Agent;
   worker.AgentAddress = report.AgentAddress;
-  worker.LastHeard = now;
+  worker.LastReportAt = now;
   worker.Sequence = report.Sequence;
   worker.Reachable = report.Reachable;
   worker.EarliestShutdown =
@@ -81,9 +82,9 @@
   return all;
 }
 
-bool Fleet::usable(const WorkerView &worker, absl::Time now) const {
+bool Fleet::isUsable(const WorkerView &worker, absl::Time now) const {
   return !worker.State.Draining && worker.Reachable &&
-         now - worker.LastHeard < Policy.SuspectAfter &&
+         now - worker.LastReportAt < Policy.UnresponsiveAfter &&
          now >= worker.QuarantinedUntil;
 }
 
@@ -97,7 +98,7 @@
     ++worker->CompletedRuns;
     return false;
   }
-  if (++worker->ConsecutiveFailures < Policy.FailuresInARow)
+  if (++worker->ConsecutiveFailures < Policy.FailuresBeforeQuarantine)
     return false;
   return quarantine(incarnation, now);
 }
@@ -114,14 +115,14 @@
   return true;
 }
 
-void Fleet::occupy(const WorkerLife &incarnation, const RunId &run,
-                   const core::Resources &resources) {
+void Fleet::allocate(const WorkerLife &incarnation, const RunId &run,
+                     const core::Resources &resources) {
   WorkerView *worker = find(incarnation);
   if (worker != nullptr && worker->Allocations.emplace(run, resources).second)
     worker->Used += resources;
 }
 
-void Fleet::vacate(const WorkerLife &incarnation, const RunId &run) {
+void Fleet::release(const WorkerLife &incarnation, const RunId &run) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
@@ -132,14 +133,14 @@
   worker->Allocations.erase(it);
 }
 
-bool Fleet::endListed(const WorkerLife &incarnation, int64_t number) {
+bool Fleet::registerEnd(const WorkerLife &incarnation, int64_t number) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr || number <= worker->SeenUpto)
     return false;
   return worker->RunEnds.emplace(number, false).second;
 }
 
-void Fleet::endRecorded(const WorkerLife &incarnation, int64_t number) {
+void Fleet::markEndRecorded(const WorkerLife &incarnation, int64_t number) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
--- a/src/libs/jobs/fleet.h
+++ b/src/libs/jobs/fleet.h
@@ -19,13 +19,13 @@
 /// Limits that decide which workers are used.
 struct FleetPolicy {
   /// A worker gets no new tasks after it has not reported for this long.
-  absl::Duration SuspectAfter = absl::Milliseconds(1500);
+  absl::Duration UnresponsiveAfter = absl::Milliseconds(1500);
   /// Time after the last grant for a worker by which its tasks have certainly
   /// ended.
   absl::Duration LostAfter = absl::Milliseconds(6000);
   /// Number of consecutive failed runs, of different tasks, before a worker is
   /// quarantined.
-  int FailuresInARow = 2;
+  int FailuresBeforeQuarantine = 2;
   /// Duration of the first quarantine; doubles with each further one up to
   /// MaxQuarantine.
   absl::Duration FirstQuarantine = absl::Seconds(4);
@@ -37,7 +37,7 @@
   endpoints::WorkerState State;
   std::string Agent;
   std::string AgentAddress;
-  absl::Time LastHeard;
+  absl::Time LastReportAt;
   int64_t Sequence = 0;
   /// It has seen this leader's fencing token, and the effect of what earlier
   /// leaders ordered has been resolved.
@@ -63,7 +63,7 @@
   absl::Duration QuarantineDuration = absl::ZeroDuration();
   absl::Time QuarantinedUntil = absl::InfinitePast();
 
-  core::Resources room() const {
+  core::Resources freeResources() const {
     core::Resources r = State.Capacity;
     r -= Used;
     return r;
@@ -72,8 +72,9 @@
 
 /// How this incarnation of a worker ended according to a report of the agent
 /// beside it. Returns nothing if the report does not say that it has ended.
-std::optional<endpoints::LifeEnd> endOf(const endpoints::WorkerReport &report,
-                                        const WorkerLife &incarnation);
+std::optional<endpoints::LifeEnd>
+findIncarnationEnd(const endpoints::WorkerReport &report,
+                   const WorkerLife &incarnation);
 
 /// The workers that report to the leader, their resources and whether new tasks
 /// may be placed on them. Uses no threads, clock or sockets.
@@ -83,12 +84,12 @@
 
   /// Whether the report is outdated, because a later report has already said
   /// that its incarnation has ended.
-  bool isOvertaken(const endpoints::WorkerReport &report) const;
+  bool isOutdated(const endpoints::WorkerReport &report) const;
   /// Applies the state of the worker in a report. Returns the incarnations that
   /// the report ended: a new incarnation of the worker beside the same agent
   /// means that nothing of the old one runs any more.
-  std::vector<endpoints::LifeEnd> heard(const endpoints::WorkerReport &report,
-                                        absl::Time now);
+  std::vector<endpoints::LifeEnd>
+  applyReport(const endpoints::WorkerReport &report, absl::Time now);
   /// Removes and returns the incarnations whose tasks have certainly ended
   /// because no grant keeps them alive any more.
   std::vector<WorkerLife> takeLost(absl::Time now);
@@ -100,7 +101,7 @@
   core::Resources capacityOf(const std::string &service) const;
 
   /// Whether new tasks may be placed on the worker.
-  bool usable(const WorkerView &worker, absl::Time now) const;
+  bool isUsable(const WorkerView &worker, absl::Time now) const;
   /// Quarantines the worker, for longer each time. Returns false if it is
   /// already quarantined.
   bool quarantine(const WorkerLife &incarnation, absl::Time now);
@@ -108,15 +109,15 @@
   /// on them. Returns true if the worker is quarantined from now on.
   bool recordEnd(const WorkerLife &incarnation, bool ok, absl::Time now);
 
-  void occupy(const WorkerLife &incarnation, const RunId &run,
-              const core::Resources &resources);
-  void vacate(const WorkerLife &incarnation, const RunId &run);
+  void allocate(const WorkerLife &incarnation, const RunId &run,
+                const core::Resources &resources);
+  void release(const WorkerLife &incarnation, const RunId &run);
 
   /// Registers an end that the worker has listed. Returns false if it was
   /// listed before.
-  bool endListed(const WorkerLife &incarnation, int64_t number);
+  bool registerEnd(const WorkerLife &incarnation, int64_t number);
   /// Marks an end as recorded, or as not needing a record.
-  void endRecorded(const WorkerLife &incarnation, int64_t number);
+  void markEndRecorded(const WorkerLife &incarnation, int64_t number);
 
 private:
   const FleetPolicy Policy;
--- a/src/libs/jobs/promise.cpp
+++ b/src/libs/jobs/jobdeadline.cpp
@@ -1,4 +1,4 @@
-#include "promise.h"
+#include "jobdeadline.h"
 
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_join.h>
@@ -48,24 +48,25 @@
   return criticalPaths;
 }
 
-Promise promiseOf(const std::vector<core::StepSpec> &steps,
-                  const core::Resources &capacity, double stretch,
-                  int64_t targetMs, const TaskTime &taskTime) {
-  Promise deadline;
+JobDeadline computeDeadline(const std::vector<core::StepSpec> &steps,
+                            const core::Resources &capacity, double stretch,
+                            int64_t targetMs, const TaskTime &taskTime) {
+  JobDeadline deadline;
   for (const core::StepSpec &step : steps)
     deadline.Waves.push_back(wavesOf(step, capacity));
   const auto criticalPaths = criticalPathsFrom(steps, deadline.Waves, taskTime);
-  deadline.Chain =
+  deadline.CriticalPath =
       criticalPaths.empty()
           ? absl::ZeroDuration()
           : *std::max_element(criticalPaths.begin(), criticalPaths.end());
-  deadline.Within = deadline.Chain * stretch + absl::Milliseconds(targetMs);
-  deadline.WorthlessAfter = deadline.Within * WorthlessAfterFactor;
+  deadline.RelativeDeadline =
+      deadline.CriticalPath * stretch + absl::Milliseconds(targetMs);
+  deadline.WorthlessAfter = deadline.RelativeDeadline * WorthlessAfterFactor;
   return deadline;
 }
 
 std::string stepsText(const std::vector<core::StepSpec> &steps,
-                      const Promise &deadline) {
+                      const JobDeadline &deadline) {
   std::vector<std::string> out;
   for (size_t s = 0; s < steps.size(); ++s) {
     out.push_back(absl::StrCat("waves=", deadline.Waves[s]));
--- a/src/libs/jobs/promise.h
+++ b/src/libs/jobs/jobdeadline.h
@@ -23,26 +23,26 @@
 /// Returns the expected duration of a task of the step.
 using TaskTime = std::function<absl::Duration(const core::StepSpec &)>;
 
-/// Deadline of a job: it is on time if it ends at most Within after its
-/// submission, and is nearly worthless to its caller if it ends more than
+/// Deadline of a job: it is on time if it ends at most RelativeDeadline after
+/// its submission, and is nearly worthless to its caller if it ends more than
 /// WorthlessAfter after its submission.
-struct Promise {
+struct JobDeadline {
   /// Length of the critical path through the steps, with wide steps counted in
   /// waves.
-  absl::Duration Chain;
-  absl::Duration Within;
+  absl::Duration CriticalPath;
+  absl::Duration RelativeDeadline;
   absl::Duration WorthlessAfter;
   /// Number of waves by step.
   std::vector<int> Waves;
 
-  auto operator<=>(const Promise &) const = default;
+  auto operator<=>(const JobDeadline &) const = default;
 };
 
 /// Computes the deadline of a job with these steps: stretch times its critical
 /// path, plus targetMs.
-Promise promiseOf(const std::vector<core::StepSpec> &steps,
-                  const core::Resources &capacity, double stretch,
-                  int64_t targetMs, const TaskTime &taskTime);
+JobDeadline computeDeadline(const std::vector<core::StepSpec> &steps,
+                            const core::Resources &capacity, double stretch,
+                            int64_t targetMs, const TaskTime &taskTime);
 
 /// For each step, the length of the critical path that starts with it.
 std::vector<absl::Duration>
@@ -52,6 +52,6 @@
 /// Waves and predecessors of each step for the log, such as
 /// "waves=2; waves=1 after=0".
 std::string stepsText(const std::vector<core::StepSpec> &steps,
-                      const Promise &deadline);
+                      const JobDeadline &deadline);
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/jobscheduler.cpp
+++ b/src/libs/jobs/jobscheduler.cpp
@@ -1,7 +1,7 @@
 #include "jobscheduler.h"
 
 #include "planner.h"
-#include "runjudge.h"
+#include "runmonitor.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -41,8 +41,9 @@
 int64_t JobScheduler::heardMsAgo(const WorkerLife &incarnation,
                                  absl::Time now) const {
   const WorkerView *worker = Workers.find(incarnation);
-  return worker == nullptr ? -1
-                           : absl::ToInt64Milliseconds(now - worker->LastHeard);
+  return worker == nullptr
+             ? -1
+             : absl::ToInt64Milliseconds(now - worker->LastReportAt);
 }
 
 JobScheduler::Task *JobScheduler::findTask(const TaskId &id) {
@@ -91,12 +92,12 @@
 
 absl::Duration JobScheduler::taskTime(const Job &job,
                                       const core::StepSpec &spec) const {
-  return Estimates.expected(job.Record.Spec.Queue,
-                            absl::Milliseconds(spec.EstimateMs));
+  return Estimates.expectedDuration(job.Record.Spec.Queue,
+                                    absl::Milliseconds(spec.EstimateMs));
 }
 
-Promise JobScheduler::promiseOf(const Job &job) const {
-  return jobs::promiseOf(
+JobDeadline JobScheduler::computeDeadline(const Job &job) const {
+  return jobs::computeDeadline(
       job.Record.Spec.Steps, Workers.capacityOf(serviceOf(job)),
       job.Record.Stretch, job.Record.TargetLatencyMs,
       [&](const core::StepSpec &spec) { return taskTime(job, spec); });
@@ -107,12 +108,12 @@
   if (job.DeadlineLogged)
     return;
   job.DeadlineLogged = true;
-  const Promise deadline = promiseOf(job);
+  const JobDeadline deadline = computeDeadline(job);
   const core::JobSpec &spec = job.Record.Spec;
   note(Decision::Kind::Promised, spec.Id, "", 0, "", "",
        {{"priority", job.Record.Priority},
-        {"chain_ms", absl::ToInt64Milliseconds(deadline.Chain)},
-        {"within_ms", absl::ToInt64Milliseconds(deadline.Within)},
+        {"chain_ms", absl::ToInt64Milliseconds(deadline.CriticalPath)},
+        {"within_ms", absl::ToInt64Milliseconds(deadline.RelativeDeadline)},
         {"stretch_percent", static_cast<int64_t>(job.Record.Stretch * 100)},
         {"target_ms", job.Record.TargetLatencyMs},
         {"accelerators", Workers.capacityOf(serviceOf(job)).Accelerators}});
@@ -179,7 +180,8 @@
        jobStateName(state),
        {{"priority", job.Record.Priority},
         {"took_ms", absl::ToInt64Milliseconds(now - job.Arrived)},
-        {"within_ms", absl::ToInt64Milliseconds(promiseOf(job).Within)}});
+        {"within_ms",
+         absl::ToInt64Milliseconds(computeDeadline(job).RelativeDeadline)}});
   Decisions.back().Texts = {{"queue", job.Record.Spec.Queue}};
   if (!cause.empty())
     Decisions.back().Texts["cause"] = cause;
@@ -257,13 +259,15 @@
   if (job.State == JobState::Queued)
     job.State = JobState::Running;
   job.Dirty = true;
-  Workers.occupy(incarnation, {core::taskName(id), run}, job.specOf(id).room());
+  Workers.allocate(incarnation, {core::taskName(id), run},
+                   job.specOf(id).room());
   note(Decision::Kind::Placed, id.Job, core::taskName(id), run, incarnation.Id,
        "",
        {{"rank", rank},
         {"waited_ms", absl::ToInt64Milliseconds(now - job.Arrived)},
         {"worker_heard_ms_ago", heardMsAgo(incarnation, now)},
-        {"accelerators_left", Workers.find(incarnation)->room().Accelerators},
+        {"accelerators_left",
+         Workers.find(incarnation)->freeResources().Accelerators},
         {"config_version", Config->Version}});
 }
 
@@ -271,9 +275,10 @@
                                  absl::Time now) {
   const core::StepSpec &spec = Jobs.at(id.Job).specOf(id);
   if (!spec.LongRunning)
-    Progress.seen({core::taskName(id), task.Progress.Run}, task.Progress.Worker,
-                  task.Percent, absl::Milliseconds(spec.EstimateMs),
-                  !task.Progress.Saved.empty(), now);
+    Progress.recordProgress({core::taskName(id), task.Progress.Run},
+                            task.Progress.Worker, task.Percent,
+                            absl::Milliseconds(spec.EstimateMs),
+                            !task.Progress.Saved.empty(), now);
 }
 
 // Whether the run is expected to be slow where it is: outside the rack of its
@@ -317,7 +322,7 @@
 
 void JobScheduler::tick(absl::Time now) {
   PassNeeded |= Waits;
-  RunJudge(*this, now).judge();
+  RunMonitor(*this, now).checkRuns();
   for (const WorkerLife &incarnation : Workers.takeLost(now))
     handleIncarnationEnd(
         {incarnation},
--- a/src/libs/jobs/jobscheduler.h
+++ b/src/libs/jobs/jobscheduler.h
@@ -1,12 +1,12 @@
 #pragma once
 
 #include "core/siteconfig.h"
-#include "demandbook.h"
 #include "fleet.h"
+#include "jobdeadline.h"
 #include "jobrecord.h"
 #include "progress.h"
-#include "promise.h"
-#include "speedbook.h"
+#include "urgentdemandestimator.h"
+#include "workerspeedestimator.h"
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/time/time.h>
@@ -168,7 +168,7 @@
   int64_t onReport(const endpoints::WorkerReport &report, absl::Time now);
   /// What this leader has learned about the speed of an agent's worker.
   endpoints::LearnedSpeed speedOf(const std::string &agent) const {
-    return Speeds.learned(agent);
+    return Speeds.learnedSpeed(agent);
   }
 
   // Writes to the store.
@@ -210,7 +210,7 @@
 
 private:
   friend class Planner;
-  friend class RunJudge;
+  friend class RunMonitor;
   /// State of a task's latest run as the leader knows it. It is not recorded.
   enum class Phase {
     Idle,
@@ -319,7 +319,7 @@
   /// Expected duration of a task, from its estimate and the past errors of the
   /// queue's estimates.
   absl::Duration taskTime(const Job &job, const core::StepSpec &spec) const;
-  Promise promiseOf(const Job &job) const;
+  JobDeadline computeDeadline(const Job &job) const;
   /// Enough time has passed since the election for every live worker to have
   /// reported.
   bool fleetKnown(absl::Time now) const {
@@ -419,10 +419,10 @@
   /// Time by which all tasks have ended at workers that never reported.
   absl::Time UnreportedLostAt;
   Fleet Workers;
-  ProgressWatch Progress;
-  EstimateBook Estimates;
-  SpeedBook Speeds;
-  DemandBook Urgent;
+  ProgressTracker Progress;
+  DurationEstimator Estimates;
+  WorkerSpeedEstimator Speeds;
+  UrgentDemandEstimator Urgent;
   std::shared_ptr<const core::SiteConfig> Config;
   std::map<std::string, Job> Jobs;
   /// A worker incarnation that is named in a record and has not reported to
--- a/src/libs/jobs/jobscheduler_lives.cpp
+++ b/src/libs/jobs/jobscheduler_lives.cpp
@@ -47,8 +47,8 @@
     UnreportedIncarnations[task.Progress.Worker] = {task.Progress.Agent,
                                                     task.MayStartUntil};
   else
-    Workers.occupy(next, {core::taskName(id), task.Progress.Run},
-                   job.specOf(id).room());
+    Workers.allocate(next, {core::taskName(id), task.Progress.Run},
+                     job.specOf(id).room());
   job.Dirty = true;
   task.What = Phase::Ordered;
   task.StopAsked = false;
--- a/src/libs/jobs/jobscheduler_records.cpp
+++ b/src/libs/jobs/jobscheduler_records.cpp
@@ -19,7 +19,7 @@
     // at once, and do not predict how many will arrive.
     if (record.Priority == 0 && fleetKnown(now) && !record.Spec.Steps.empty()) {
       const core::StepSpec &first = record.Spec.Steps.front();
-      Urgent.arrived(first.Count * first.PerTask.Accelerators, now);
+      Urgent.recordArrival(first.Count * first.PerTask.Accelerators, now);
     }
   }
   job.Record = record;
@@ -117,7 +117,7 @@
   std::vector<Job::PendingEndAck> remaining;
   for (const Job::PendingEndAck &ack : job.PendingEndAcks)
     if (ack.Version <= version)
-      Workers.endRecorded(ack.Incarnation, ack.Number);
+      Workers.markEndRecorded(ack.Incarnation, ack.Number);
     else
       remaining.push_back(ack);
   job.PendingEndAcks = std::move(remaining);
--- a/src/libs/jobs/jobscheduler_reports.cpp
+++ b/src/libs/jobs/jobscheduler_reports.cpp
@@ -21,22 +21,22 @@
                                absl::Time now) {
   const WorkerLife &incarnation = report.Worker.Life;
   const WorkerView *known = Workers.find(incarnation);
-  const bool wasUsable = known != nullptr && Workers.usable(*known, now);
+  const bool wasUsable = known != nullptr && Workers.isUsable(*known, now);
   const core::Resources previousCapacity =
       known == nullptr ? core::Resources() : known->State.Capacity;
   // Reports may arrive out of order; an older one would undo a newer one.
   if (known != nullptr && report.Sequence <= known->Sequence)
     return known->SeenUpto;
-  if (Workers.isOvertaken(report))
+  if (Workers.isOutdated(report))
     return 0;
-  for (const endpoints::LifeEnd &end : Workers.heard(report, now)) {
+  for (const endpoints::LifeEnd &end : Workers.applyReport(report, now)) {
     if (end.Crashed)
       LastCrashes[report.Agent] = now;
     handleIncarnationEnd(end, "the worker's process has ended", &incarnation,
                          now);
   }
   endReplacedIncarnations(report, now);
-  Speeds.recall(report.Agent, report.Speed);
+  Speeds.importSpeed(report.Agent, report.Speed);
   if (incarnation.empty())
     return 0;
   if (known == nullptr)
@@ -53,7 +53,7 @@
     handleOrderResult(incarnation, result, now);
   // Most reports only update the progress of runs. A scheduling pass after each
   // of them used up all of the leader's time on a site of hundreds of workers.
-  PassNeeded |= wasUsable != Workers.usable(*worker, now) ||
+  PassNeeded |= wasUsable != Workers.isUsable(*worker, now) ||
                 previousCapacity != worker->State.Capacity;
   return worker->SeenUpto;
 }
@@ -66,7 +66,7 @@
   std::vector<endpoints::LifeEnd> endedIncarnations;
   for (const auto &[incarnation, unreported] : UnreportedIncarnations)
     if (unreported.Agent == report.Agent)
-      if (const auto end = endOf(report, incarnation))
+      if (const auto end = findIncarnationEnd(report, incarnation))
         endedIncarnations.push_back(*end);
   for (const endpoints::LifeEnd &end : endedIncarnations) {
     UnreportedIncarnations.erase(end.Life);
@@ -83,8 +83,8 @@
     Job &job = entry.second;
     forEachTask(job, [&](const TaskId &id, Task &task) {
       if (task.Progress.Worker == incarnation)
-        Workers.occupy(incarnation, {core::taskName(id), task.Progress.Run},
-                       job.specOf(id).room());
+        Workers.allocate(incarnation, {core::taskName(id), task.Progress.Run},
+                         job.specOf(id).room());
     });
   }
   note(Decision::Kind::WorkerJoined, "", "", 0, incarnation.Id);
@@ -185,9 +185,9 @@
 void JobScheduler::handleTaskEnd(const WorkerLife &incarnation,
                                  const endpoints::EndedTask &end,
                                  absl::Time now) {
-  if (!Workers.endListed(incarnation, end.Number))
+  if (!Workers.registerEnd(incarnation, end.Number))
     return;
-  Workers.vacate(incarnation, {end.Task, end.Run});
+  Workers.release(incarnation, {end.Task, end.Run});
   PassNeeded = true;
   TaskId id;
   Task *task = core::parseTaskName(end.Task, id) ? findTask(id) : nullptr;
@@ -204,7 +204,7 @@
         {"failed_before", task == nullptr ? 0 : task->Progress.Failed},
         {"attempts", task == nullptr ? 0 : Jobs.at(id.Job).Record.Attempts}});
   if (task == nullptr) {
-    Workers.endRecorded(incarnation, end.Number);
+    Workers.markEndRecorded(incarnation, end.Number);
     return;
   }
   Job &job = Jobs.at(id.Job);
@@ -227,7 +227,7 @@
                                   int64_t number) {
   const int64_t version = job.Dirty ? job.Version + 1 : job.Version;
   if (version <= job.WrittenVersion)
-    Workers.endRecorded(incarnation, number);
+    Workers.markEndRecorded(incarnation, number);
   else
     job.PendingEndAcks.push_back({version, incarnation, number});
 }
@@ -255,8 +255,9 @@
   if (isAway(job, id, task))
     return;
   compareSpeed(job, id, task, task.Took);
-  Estimates.ended(job.Record.Spec.Queue, absl::Milliseconds(spec.EstimateMs),
-                  task.Took / slownessOf(task.Progress.Worker));
+  Estimates.recordTaskDuration(job.Record.Spec.Queue,
+                               absl::Milliseconds(spec.EstimateMs),
+                               task.Took / slownessOf(task.Progress.Worker));
 }
 
 // Estimates the worker's speed from the progress of a run long before its end.
@@ -281,7 +282,7 @@
   if (task.SpeedCompared || worker == nullptr || job.specOf(id).Gang)
     return;
   task.SpeedCompared = true;
-  Speeds.took(stepName(id), worker->Agent, runDuration);
+  Speeds.recordRunDuration(stepName(id), worker->Agent, runDuration);
 }
 
 void JobScheduler::handleRunEnd(Job &job, const TaskId &id, Task &task,
@@ -340,7 +341,8 @@
     recordCrash(job, id, task);
   note(Decision::Kind::Settled, id.Job, core::taskName(id), task.Progress.Run,
        task.Progress.Worker.Id, why);
-  Workers.vacate(task.Progress.Worker, {core::taskName(id), task.Progress.Run});
+  Workers.release(task.Progress.Worker,
+                  {core::taskName(id), task.Progress.Run});
   PassNeeded = true;
   unassign(job, id, task);
   if (job.specOf(id).Gang)
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -16,8 +16,8 @@
 Planner::Planner(JobScheduler &scheduler, absl::Time now)
     : Scheduler(scheduler), Now(now) {
   for (const auto &[incarnation, view] : Scheduler.Workers.workers())
-    if (Scheduler.Workers.usable(view, now))
-      Candidates.push_back({&view, view.room(), view.room(),
+    if (Scheduler.Workers.isUsable(view, now))
+      Candidates.push_back({&view, view.freeResources(), view.freeResources(),
                             absl::InfiniteDuration(),
                             Scheduler.Speeds.isSlow(view.Agent), -1,
                             view.ConsecutiveFailures > 0});
@@ -49,8 +49,9 @@
         std::max(maxAccelerators, candidate.View->State.Capacity.Accelerators);
   if (maxAccelerators == 0)
     return 0;
-  const double need = Scheduler.Policy.Headroom *
-                      Scheduler.Urgent.within(Scheduler.Policy.StopTakes, Now);
+  const double need =
+      Scheduler.Policy.Headroom *
+      Scheduler.Urgent.expectedDemand(Scheduler.Policy.StopTakes, Now);
   const auto workers =
       static_cast<int>(need / static_cast<double>(maxAccelerators));
   return std::min(workers, static_cast<int>(Candidates.size()) /
--- a/src/libs/jobs/planner_room.cpp
+++ b/src/libs/jobs/planner_capacity.cpp
@@ -3,7 +3,7 @@
 // which capacity is reserved.
 #include "planner.h"
 
-#include "runjudge.h"
+#include "runmonitor.h"
 
 #include <algorithm>
 #include <tuple>
@@ -49,8 +49,8 @@
     return 0;
   double lost = absl::ToDoubleSeconds(Now - task.Began);
   if (spec.Checkpoints)
-    lost = std::min(lost,
-                    absl::ToDoubleSeconds(Scheduler.Policy.Progress.Restore));
+    lost = std::min(
+        lost, absl::ToDoubleSeconds(Scheduler.Policy.Progress.RestoreTime));
   return lost * coreEquivalents(spec.PerTask);
 }
 
@@ -70,7 +70,7 @@
     const double lostWork = workLostByStop(spec, t);
     const absl::Duration timeLeft =
         t.StopAsked ? Scheduler.Policy.StopTakes
-                    : RunJudge(Scheduler, Now).remainingTime(job, id, t);
+                    : RunMonitor(Scheduler, Now).remainingTime(job, id, t);
     auto candidate = CandidateOf.find(t.Progress.Worker);
     if (spec.Gang) {
       gang.LostWork += lostWork;
@@ -331,7 +331,7 @@
   if (unit.Rank > 1)
     return;
   const auto &steps = job.Record.Spec.Steps;
-  const Promise deadline = Scheduler.promiseOf(job);
+  const JobDeadline deadline = Scheduler.computeDeadline(job);
   const auto criticalPaths =
       criticalPathsFrom(steps, deadline.Waves, [&](const core::StepSpec &s) {
         return Scheduler.taskTime(job, s);
@@ -341,7 +341,7 @@
   const absl::Duration timeAfterStep =
       criticalPaths[step] - taskDuration * deadline.Waves[step];
   const absl::Duration timeLeft =
-      job.Arrived + deadline.Within - Now - timeAfterStep;
+      job.Arrived + deadline.RelativeDeadline - Now - timeAfterStep;
   unit.Slack = timeLeft - taskDuration;
   if (!spec.Gang && unit.Rank == 1)
     computeRequiredConcurrency(unit, timeLeft, taskDuration);
@@ -366,7 +366,7 @@
     if (!step[i].mayRun())
       continue;
     followUpTasks +=
-        rounds(timeLeft - RunJudge(Scheduler, Now)
+        rounds(timeLeft - RunMonitor(Scheduler, Now)
                               .remainingTime(*unit.Owner,
                                              unit.taskId(static_cast<int>(i)),
                                              step[i]));
--- a/src/libs/jobs/progress.cpp
+++ b/src/libs/jobs/progress.cpp
@@ -5,9 +5,9 @@
 
 namespace oriolebay::jobs {
 
-void ProgressWatch::seen(const RunId &run, const WorkerLife &worker,
-                         int percent, absl::Duration estimate, bool resumed,
-                         absl::Time now) {
+void ProgressTracker::recordProgress(const RunId &run, const WorkerLife &worker,
+                                     int percent, absl::Duration estimate,
+                                     bool resumed, absl::Time now) {
   auto [it, added] = Runs.try_emplace(
       run,
       TrackedRun{worker, estimate, resumed, percent, percent, now, now, {}});
@@ -23,9 +23,9 @@
     tracked.Increases.pop_front();
 }
 
-void ProgressWatch::forget(const RunId &run) { Runs.erase(run); }
+void ProgressTracker::forget(const RunId &run) { Runs.erase(run); }
 
-bool ProgressWatch::isStalled(const RunId &run) const {
+bool ProgressTracker::isStalled(const RunId &run) const {
   auto it = Runs.find(run);
   if (it == Runs.end() || it->second.Percent >= 100)
     return false;
@@ -33,12 +33,12 @@
   absl::Duration timeout = std::max(
       Policy.StalledAfter, tracked.Estimate * Policy.StalledEstimateShare);
   if (tracked.Resumed)
-    timeout += Policy.Restore;
+    timeout += Policy.RestoreTime;
   return tracked.LastReport - tracked.LastIncrease >= timeout;
 }
 
-bool ProgressWatch::isWorkerProgressing(const WorkerLife &worker,
-                                        absl::Time now) const {
+bool ProgressTracker::isWorkerProgressing(const WorkerLife &worker,
+                                          absl::Time now) const {
   return std::any_of(Runs.begin(), Runs.end(), [&](const auto &entry) {
     const TrackedRun &tracked = entry.second;
     // The first report of a run sets LastIncrease as well, but does not show
@@ -48,8 +48,8 @@
   });
 }
 
-std::optional<ProgressWatch::DurationBounds>
-ProgressWatch::durationBounds(const RunId &run) const {
+std::optional<ProgressTracker::DurationBounds>
+ProgressTracker::durationBounds(const RunId &run) const {
   auto it = Runs.find(run);
   if (it == Runs.end() || it->second.Increases.empty() ||
       it->second.Percent >= 100)
@@ -66,8 +66,9 @@
                                      : absl::InfiniteDuration()};
 }
 
-void EstimateBook::ended(const std::string &queue, absl::Duration estimate,
-                         absl::Duration took) {
+void DurationEstimator::recordTaskDuration(const std::string &queue,
+                                           absl::Duration estimate,
+                                           absl::Duration took) {
   if (estimate <= absl::ZeroDuration() || took <= absl::ZeroDuration())
     return;
   LogErrors &errors = Queues[queue];
@@ -79,15 +80,16 @@
   errors.SquareSum += previousDeviation * (logError - errors.Mean);
 }
 
-absl::Duration EstimateBook::expected(const std::string &queue,
-                                      absl::Duration estimate) const {
+absl::Duration
+DurationEstimator::expectedDuration(const std::string &queue,
+                                    absl::Duration estimate) const {
   auto it = Queues.find(queue);
   return it == Queues.end() ? estimate : estimate * std::exp(it->second.Mean);
 }
 
 std::optional<absl::Duration>
-EstimateBook::slowThreshold(const std::string &queue,
-                            absl::Duration estimate) const {
+DurationEstimator::slowThreshold(const std::string &queue,
+                                 absl::Duration estimate) const {
   auto it = Queues.find(queue);
   if (it == Queues.end() || it->second.Count < Policy.MinEndsForEstimate)
     return std::nullopt;
@@ -97,7 +99,7 @@
     return std::nullopt;
   const double margin =
       std::max(Policy.MaxDeviations * deviation, std::log(Policy.SlowFactor));
-  return expected(queue, estimate) * std::exp(margin);
+  return expectedDuration(queue, estimate) * std::exp(margin);
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/progress.h
+++ b/src/libs/jobs/progress.h
@@ -22,7 +22,7 @@
   double StalledEstimateShare = 0.05;
   /// Time to restore a checkpoint. The progress of a resumed run starts this
   /// much later.
-  absl::Duration Restore = absl::Milliseconds(600);
+  absl::Duration RestoreTime = absl::Milliseconds(600);
   /// Minimum time over which the rate of progress is computed: two polls.
   absl::Duration MinRateWindow = absl::Milliseconds(900);
   /// A run is too slow if it takes this many times as long as its peers: more
@@ -42,14 +42,14 @@
 /// Tracks the progress of runs. Detects stalled runs on workers that otherwise
 /// answer in time, and derives the duration of the others from their rate of
 /// progress. Uses no threads, clock or sockets.
-class ProgressWatch {
+class ProgressTracker {
 public:
-  explicit ProgressWatch(ProgressPolicy policy) : Policy(policy) {}
+  explicit ProgressTracker(ProgressPolicy policy) : Policy(policy) {}
 
   /// Records that a run on worker was reported at percent. Estimate is the
   /// expected duration of the whole run.
-  void seen(const RunId &run, const WorkerLife &worker, int percent,
-            absl::Duration estimate, bool resumed, absl::Time now);
+  void recordProgress(const RunId &run, const WorkerLife &worker, int percent,
+                      absl::Duration estimate, bool resumed, absl::Time now);
   void forget(const RunId &run);
 
   /// Whether the percentage of an unfinished run has not increased for too
@@ -93,20 +93,20 @@
 
 /// Learns the error of the estimates that the callers of a queue give. The
 /// error differs between queues by a factor of ten.
-class EstimateBook {
+class DurationEstimator {
 public:
-  explicit EstimateBook(ProgressPolicy policy) : Policy(policy) {}
+  explicit DurationEstimator(ProgressPolicy policy) : Policy(policy) {}
 
   /// Records the actual duration, took, of a task with the given estimate.
-  void ended(const std::string &queue, absl::Duration estimate,
-             absl::Duration took);
+  void recordTaskDuration(const std::string &queue, absl::Duration estimate,
+                          absl::Duration took);
   /// Duration from which a task is slower than the error of its estimate
   /// explains. Returns nothing while too little is known.
   std::optional<absl::Duration> slowThreshold(const std::string &queue,
                                               absl::Duration estimate) const;
   /// Expected duration of a task with the given estimate.
-  absl::Duration expected(const std::string &queue,
-                          absl::Duration estimate) const;
+  absl::Duration expectedDuration(const std::string &queue,
+                                  absl::Duration estimate) const;
 
 private:
   /// Statistics of the logarithm of the actual over the estimated duration.
--- a/src/libs/jobs/runjudge.cpp
+++ b/src/libs/jobs/runmonitor.cpp
@@ -1,4 +1,4 @@
-#include "runjudge.h"
+#include "runmonitor.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void RunJudge::judge() {
+void RunMonitor::checkRuns() {
   for (auto &[jobId, job] : Scheduler.Jobs) {
     if (job.over())
       continue;
@@ -33,7 +33,7 @@
   }
 }
 
-void RunJudge::checkStep(Job &job, const TaskId &first) {
+void RunMonitor::checkStep(Job &job, const TaskId &first) {
   PeerTimes peers;
   TaskId id = first;
   Step &step = job.stepOf(id);
@@ -46,8 +46,8 @@
   }
 }
 
-void RunJudge::checkRun(Job &job, const TaskId &id, Task &task,
-                        PeerTimes &peers) {
+void RunMonitor::checkRun(Job &job, const TaskId &id, Task &task,
+                          PeerTimes &peers) {
   if (mustEvacuate(job, id, task)) {
     evacuate(job, id, task);
   } else if (isRunStalled(job, id, task)) {
@@ -58,12 +58,12 @@
   }
 }
 
-absl::Duration RunJudge::remainingTime(const Job &job, const TaskId &id,
-                                       const Task &task) const {
+absl::Duration RunMonitor::remainingTime(const Job &job, const TaskId &id,
+                                         const Task &task) const {
   const core::StepSpec &spec = job.specOf(id);
   if (spec.LongRunning)
     return absl::InfiniteDuration();
-  absl::Duration total = Scheduler.Estimates.expected(
+  absl::Duration total = Scheduler.Estimates.expectedDuration(
       job.Record.Spec.Queue, absl::Milliseconds(spec.EstimateMs));
   if (const auto bounds = Scheduler.Progress.durationBounds(
           {core::taskName(id), task.Progress.Run}))
@@ -80,7 +80,7 @@
 // Members of a gang wait for each other, so a single stalled member stalls all
 // of them, and all are stalled until every member has started. Only a member
 // whose progress is behind that of another one is the cause.
-bool RunJudge::isBehindGang(const Step &step, const Task &task) {
+bool RunMonitor::isBehindGang(const Step &step, const Task &task) {
   return std::any_of(step.begin(), step.end(), [&](const Task &other) {
     return other.mayRun() && other.Percent > task.Percent + 1;
   });
@@ -88,8 +88,8 @@
 
 // Whether a run is stalled and better restarted elsewhere, because no other run
 // on its worker makes progress either.
-bool RunJudge::isRunStalled(const Job &job, const TaskId &id,
-                            const Task &task) const {
+bool RunMonitor::isRunStalled(const Job &job, const TaskId &id,
+                              const Task &task) const {
   if (!Scheduler.Progress.isStalled({core::taskName(id), task.Progress.Run}) ||
       Scheduler.Progress.isWorkerProgressing(task.Progress.Worker, Now))
     return false;
@@ -103,8 +103,8 @@
 // Collects the durations of all tasks of the step that are known. Done once per
 // step, because collecting them for each task takes quadratic time in the
 // number of tasks of a wide step.
-void RunJudge::collectPeerTimes(const Job &job, const TaskId &first,
-                                PeerTimes &peers) const {
+void RunMonitor::collectPeerTimes(const Job &job, const TaskId &first,
+                                  PeerTimes &peers) const {
   peers.Collected = true;
   const Step &step = job.stepOf(first);
   TaskId id = first;
@@ -127,9 +127,9 @@
 
 // Normal duration of a task: the median of the other tasks of the same step.
 // Returns nothing if none of them has progressed far enough.
-std::optional<absl::Duration> RunJudge::medianPeerTime(const Job &job,
-                                                       const TaskId &id,
-                                                       PeerTimes &peers) const {
+std::optional<absl::Duration>
+RunMonitor::medianPeerTime(const Job &job, const TaskId &id,
+                           PeerTimes &peers) const {
   if (!peers.Collected)
     collectPeerTimes(job, id, peers);
   const std::vector<absl::Duration> &all = peers.Sorted;
@@ -146,8 +146,8 @@
 
 // Whether a run is so slow that restarting it on a sound worker would complete
 // the task sooner.
-bool RunJudge::isRunTooSlow(const Job &job, const TaskId &id, const Task &task,
-                            PeerTimes &peers) const {
+bool RunMonitor::isRunTooSlow(const Job &job, const TaskId &id,
+                              const Task &task, PeerTimes &peers) const {
   if (task.Moves >= Scheduler.Policy.MostMoves)
     return false;
   const auto bounds = Scheduler.Progress.durationBounds(
@@ -158,7 +158,8 @@
   const core::StepSpec &spec = job.specOf(id);
   const absl::Duration estimate = absl::Milliseconds(spec.EstimateMs);
   const std::string &queue = job.Record.Spec.Queue;
-  absl::Duration normalTime = Scheduler.Estimates.expected(queue, estimate);
+  absl::Duration normalTime =
+      Scheduler.Estimates.expectedDuration(queue, estimate);
   bool slow = false;
   if (const auto medianTime = medianPeerTime(job, id, peers)) {
     slow = duration > *medianTime * Scheduler.Policy.Progress.SlowFactor;
@@ -170,7 +171,7 @@
   const double shareLeft = (100 - task.Percent) / 100.0;
   const absl::Duration restartTime =
       spec.Checkpoints
-          ? normalTime * shareLeft + Scheduler.Policy.Progress.Restore
+          ? normalTime * shareLeft + Scheduler.Policy.Progress.RestoreTime
           : normalTime;
   return slow && duration * shareLeft > restartTime + Scheduler.Policy.MoveCost;
 }
@@ -182,8 +183,8 @@
 // time are therefore stopped before: those that write a checkpoint as late as
 // possible, as they lose nothing, the others at once, because all their work
 // would be lost anyway.
-bool RunJudge::mustEvacuate(const Job &job, const TaskId &id,
-                            const Task &task) const {
+bool RunMonitor::mustEvacuate(const Job &job, const TaskId &id,
+                              const Task &task) const {
   const WorkerView *worker = Scheduler.Workers.find(task.Progress.Worker);
   if (worker == nullptr || worker->EarliestShutdown == absl::InfiniteFuture())
     return false;
@@ -195,15 +196,15 @@
   return !spec.Checkpoints || timeLeft <= stopTime;
 }
 
-void RunJudge::requestRestart(Job &job, const TaskId &id, Task &task,
-                              const std::string &why) {
+void RunMonitor::requestRestart(Job &job, const TaskId &id, Task &task,
+                                const std::string &why) {
   if (job.specOf(id).Gang)
     Scheduler.stopStep(job, id.Occurrence, id.Step, "a member " + why);
   else
     Scheduler.requestStop(id, task, "it " + why);
 }
 
-void RunJudge::evacuate(Job &job, const TaskId &id, Task &task) {
+void RunMonitor::evacuate(Job &job, const TaskId &id, Task &task) {
   const WorkerView *worker = Scheduler.Workers.find(task.Progress.Worker);
   Scheduler.note(
       Decision::Kind::RunEvacuated, id.Job, core::taskName(id),
@@ -215,8 +216,8 @@
   requestRestart(job, id, task, "would not be done before its worker leaves");
 }
 
-void RunJudge::quarantineAndRestart(Job &job, const TaskId &id, Task &task,
-                                    const std::string &why) {
+void RunMonitor::quarantineAndRestart(Job &job, const TaskId &id, Task &task,
+                                      const std::string &why) {
   const std::string name = core::taskName(id);
   Scheduler.note(Decision::Kind::RunStandsStill, id.Job, name,
                  task.Progress.Run, task.Progress.Worker.Id,
--- a/src/libs/jobs/runjudge.h
+++ b/src/libs/jobs/runmonitor.h
@@ -13,13 +13,13 @@
 /// stop of those that are better restarted elsewhere because they are stalled,
 /// too slow, or will not end before their worker shuts down. Works on the
 /// scheduler's state and lives for one call of tick().
-class RunJudge {
+class RunMonitor {
 public:
-  RunJudge(JobScheduler &scheduler, absl::Time now)
+  RunMonitor(JobScheduler &scheduler, absl::Time now)
       : Scheduler(scheduler), Now(now) {}
 
   /// Requests the stop of every run that is better restarted elsewhere.
-  void judge();
+  void checkRuns();
 
   /// Expected remaining time of the run, derived from its rate of progress once
   /// that is known. Before that, derived from its estimate, corrected by the
--- a/src/libs/jobs/demandbook.cpp
+++ b/src/libs/jobs/urgentdemandestimator.cpp
@@ -1,4 +1,4 @@
-#include "demandbook.h"
+#include "urgentdemandestimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,14 +14,15 @@
 
 } // namespace
 
-double DemandBook::decayed(double sum, absl::Time now) const {
+double UrgentDemandEstimator::decayed(double sum, absl::Time now) const {
   return sum == 0
              ? 0
              : sum *
                    std::exp(-absl::FDivDuration(now - LastArrival, DecayTime));
 }
 
-void DemandBook::arrived(int64_t accelerators, absl::Time now) {
+void UrgentDemandEstimator::recordArrival(int64_t accelerators,
+                                          absl::Time now) {
   const auto a = static_cast<double>(accelerators);
   AcceleratorSum = decayed(AcceleratorSum, now) + a;
   SquareSum = decayed(SquareSum, now) + a * a;
@@ -29,7 +30,8 @@
   FirstArrival = std::min(FirstArrival, now);
 }
 
-double DemandBook::within(absl::Duration span, absl::Time now) const {
+double UrgentDemandEstimator::expectedDemand(absl::Duration span,
+                                             absl::Time now) const {
   if (AcceleratorSum == 0)
     return 0;
   // Corrects for the sums not yet having reached their steady state shortly
--- a/src/libs/jobs/demandbook.h
+++ b/src/libs/jobs/urgentdemandestimator.h
@@ -8,16 +8,16 @@
 
 /// Estimates how many accelerators urgent work needs at short notice, from how
 /// often urgent jobs arrive and how wide they are. Recent jobs count most.
-class DemandBook {
+class UrgentDemandEstimator {
 public:
   /// Records the arrival of an urgent job that can start on the given number of
   /// accelerators.
-  void arrived(int64_t accelerators, absl::Time now);
+  void recordArrival(int64_t accelerators, absl::Time now);
 
   /// Number of accelerators that the jobs arriving within the next span are
   /// expected to need: the mean plus one standard deviation, because arrivals
   /// are random.
-  double within(absl::Duration span, absl::Time now) const;
+  double expectedDemand(absl::Duration span, absl::Time now) const;
 
 private:
   double decayed(double sum, absl::Time now) const;
--- a/src/libs/jobs/speedbook.cpp
+++ b/src/libs/jobs/workerspeedestimator.cpp
@@ -1,4 +1,4 @@
-#include "speedbook.h"
+#include "workerspeedestimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 namespace oriolebay::jobs {
 
-double SpeedBook::weightOfNextEnd(const Learned &worker) const {
+double WorkerSpeedEstimator::weightOfNextEnd(const Learned &worker) const {
   return 1 / (std::min(worker.Ends, Policy.MaxEnds) + Policy.PriorEnds + 1);
 }
 
@@ -14,8 +14,9 @@
 // and the one expected for its worker is attributed to that worker, and with
 // the opposite sign and in smaller parts to the workers that it is compared
 // with.
-void SpeedBook::took(const std::string &step, const std::string &worker,
-                     absl::Duration duration) {
+void WorkerSpeedEstimator::recordRunDuration(const std::string &step,
+                                             const std::string &worker,
+                                             absl::Duration duration) {
   if (duration <= absl::ZeroDuration())
     return;
   std::deque<End> &others = Steps[step];
@@ -45,8 +46,8 @@
     others.pop_front();
 }
 
-void SpeedBook::recall(const std::string &worker,
-                       const endpoints::LearnedSpeed &speed) {
+void WorkerSpeedEstimator::importSpeed(const std::string &worker,
+                                       const endpoints::LearnedSpeed &speed) {
   Learned &learnedWorker = Workers[worker];
   if (speed.Ends <= learnedWorker.Ends)
     return;
@@ -54,14 +55,17 @@
   MedianKnown = false;
 }
 
-endpoints::LearnedSpeed SpeedBook::learned(const std::string &worker) const {
+endpoints::LearnedSpeed
+WorkerSpeedEstimator::learnedSpeed(const std::string &worker) const {
   auto it = Workers.find(worker);
   return it == Workers.end() ? endpoints::LearnedSpeed() : it->second;
 }
 
-void SpeedBook::forget(const std::string &step) { Steps.erase(step); }
+void WorkerSpeedEstimator::forget(const std::string &step) {
+  Steps.erase(step);
+}
 
-double SpeedBook::medianLog() const {
+double WorkerSpeedEstimator::medianLog() const {
   if (MedianKnown || Workers.empty())
     return Median;
   std::vector<double> all;
@@ -75,7 +79,7 @@
   return Median;
 }
 
-double SpeedBook::slowness(const std::string &worker) const {
+double WorkerSpeedEstimator::slowness(const std::string &worker) const {
   auto it = Workers.find(worker);
   return it == Workers.end() ? 1 : std::exp(it->second.Log - medianLog());
 }
--- a/src/libs/jobs/speedbook.h
+++ b/src/libs/jobs/workerspeedestimator.h
@@ -31,18 +31,19 @@
 /// different workers, because the estimates of callers are off by far more than
 /// workers differ. A worker is identified by the agent beside it, because its
 /// speed is a property of the host.
-class SpeedBook {
+class WorkerSpeedEstimator {
 public:
-  explicit SpeedBook(SpeedPolicy policy = {}) : Policy(policy) {}
+  explicit WorkerSpeedEstimator(SpeedPolicy policy = {}) : Policy(policy) {}
 
   /// Records that a task of the step takes the given time on the worker, in one
   /// run.
-  void took(const std::string &step, const std::string &worker,
-            absl::Duration duration);
+  void recordRunDuration(const std::string &step, const std::string &worker,
+                         absl::Duration duration);
   /// Takes over what an earlier leader has learned about a worker. Ignored if
   /// this leader has seen at least as many ends there.
-  void recall(const std::string &worker, const endpoints::LearnedSpeed &speed);
-  endpoints::LearnedSpeed learned(const std::string &worker) const;
+  void importSpeed(const std::string &worker,
+                   const endpoints::LearnedSpeed &speed);
+  endpoints::LearnedSpeed learnedSpeed(const std::string &worker) const;
   /// Discards the ends of a step of which no further task will end.
   void forget(const std::string &step);
 
--- a/src/libs/losses/jobhistory.cpp
+++ b/src/libs/losses/jobhistory.cpp
@@ -1,6 +1,6 @@
 #include "jobhistory.h"
 
-#include "jobs/speedbook.h"
+#include "jobs/workerspeedestimator.h"
 #include "utils/jsonfields.h"
 
 #include <absl/strings/match.h>
@@ -242,15 +242,16 @@
   // members of a gang end together, so that their durations tell nothing about
   // a single worker.
   void estimateWorkerSpeeds() {
-    jobs::SpeedBook speeds;
+    jobs::WorkerSpeedEstimator speeds;
     for (const auto &[id, job] : Site.Jobs)
       for (const auto &[task, runs] : job.Tasks) {
         const auto step = static_cast<size_t>(task.Step);
         if (runs.size() != 1 || runs[0].EndState != "done" ||
             !runs[0].Started || step >= job.Gang.size() || job.Gang[step])
           continue;
-        speeds.took(id + "." + std::to_string(task.Step), agentOf(runs[0]),
-                    *runs[0].Ended - *runs[0].Started);
+        speeds.recordRunDuration(id + "." + std::to_string(task.Step),
+                                 agentOf(runs[0]),
+                                 *runs[0].Ended - *runs[0].Started);
       }
     for (const auto &[id, job] : Site.Jobs)
       for (const auto &[task, runs] : job.Tasks)
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -142,7 +142,7 @@
 Timing deriveTiming(const NodeSettings &s) {
   Timing t;
   t.ReportEvery = absl::Milliseconds(s.HeartbeatMs) / ReportsPerHeartbeat;
-  t.SuspectAfter = ReportsPerHeartbeat * t.ReportEvery;
+  t.UnresponsiveAfter = ReportsPerHeartbeat * t.ReportEvery;
   t.Grant = absl::Milliseconds(s.Bounds.HoldMaxMs) - t.ReportEvery;
   t.GrantWithoutStore = 2 * absl::Milliseconds(s.Bounds.HoldMaxMs);
   t.GrantOverAfter = t.Grant * WorkerClockFactor + MaxCallDelay;
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -81,7 +81,7 @@
   absl::Duration ReportEvery;
   /// A worker gets no new work when its agent has sent no report for this long,
   /// which is three report intervals.
-  absl::Duration SuspectAfter;
+  absl::Duration UnresponsiveAfter;
   /// Maximum time for which an agent may keep tasks alive after a report that
   /// the leader answered. It is the limit of the worker less one report
   /// interval, so that each renewal can extend the lease by the whole grant.
--- a/tests/auto/jobs/tst_promise.cpp
+++ b/tests/auto/jobs/tst_jobdeadline.cpp
@@ -1,5 +1,5 @@
-#include "jobs/promise.h"
-#include "jobs/speedbook.h"
+#include "jobs/jobdeadline.h"
+#include "jobs/workerspeedestimator.h"
 
 #include <gtest/gtest.h>
 
@@ -38,11 +38,13 @@
 
 TEST_P(JobDeadlines, CountWideStepsInWaves) {
   const DeadlineCase &c = GetParam();
-  const Promise deadline = promiseOf(c.Steps, SiteCapacity, 1.5, 250, estimate);
+  const JobDeadline deadline =
+      computeDeadline(c.Steps, SiteCapacity, 1.5, 250, estimate);
   EXPECT_EQ(deadline.Waves, c.Waves);
-  EXPECT_EQ(absl::ToInt64Milliseconds(deadline.Chain), c.CriticalPathMs);
-  EXPECT_EQ(deadline.Within, deadline.Chain * 1.5 + absl::Milliseconds(250));
-  EXPECT_EQ(deadline.WorthlessAfter, deadline.Within * 3);
+  EXPECT_EQ(absl::ToInt64Milliseconds(deadline.CriticalPath), c.CriticalPathMs);
+  EXPECT_EQ(deadline.RelativeDeadline,
+            deadline.CriticalPath * 1.5 + absl::Milliseconds(250));
+  EXPECT_EQ(deadline.WorthlessAfter, deadline.RelativeDeadline * 3);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -77,47 +79,48 @@
 // differ by an eighth from each other, and steps by a factor of ten. Urgent
 // jobs on the slow workers missed their deadlines, so the slow workers have to
 // be known after one day of batch jobs.
-TEST(SpeedBook, LearnsSlowWorkersFromTasksOfOneStep) {
+TEST(WorkerSpeedEstimator, LearnsSlowWorkersFromTasksOfOneStep) {
   std::mt19937_64 random(7);
   std::lognormal_distribution<> taskVariation(0, 0.12);
   std::lognormal_distribution<> stepWork(1, 0.7);
-  SpeedBook book;
+  WorkerSpeedEstimator estimator;
   for (int s = 0; s < 16; ++s) {
     const double work = stepWork(random);
     for (int task = 0; task < 9; ++task) {
       const int w = static_cast<int>(random() % 11);
       const double slow = w % 3 == 2 ? 1.3 : 1.0;
-      book.took("step" + std::to_string(s), "w" + std::to_string(w),
-                absl::Seconds(work * slow * taskVariation(random)));
+      estimator.recordRunDuration(
+          "step" + std::to_string(s), "w" + std::to_string(w),
+          absl::Seconds(work * slow * taskVariation(random)));
     }
-    book.forget("step" + std::to_string(s));
+    estimator.forget("step" + std::to_string(s));
   }
   for (int w = 0; w < 11; ++w)
-    EXPECT_EQ(book.isSlow("w" + std::to_string(w)), w % 3 == 2)
-        << w << ": " << book.slowness("w" + std::to_string(w));
+    EXPECT_EQ(estimator.isSlow("w" + std::to_string(w)), w % 3 == 2)
+        << w << ": " << estimator.slowness("w" + std::to_string(w));
 }
 
-TEST(SpeedBook, UnknownWorkersHaveTheUsualSpeed) {
-  SpeedBook book;
-  EXPECT_EQ(book.slowness("w"), 1);
-  book.took("s", "w", absl::Seconds(3));
-  EXPECT_EQ(book.slowness("w"), 1);
+TEST(WorkerSpeedEstimator, UnknownWorkersHaveTheUsualSpeed) {
+  WorkerSpeedEstimator estimator;
+  EXPECT_EQ(estimator.slowness("w"), 1);
+  estimator.recordRunDuration("s", "w", absl::Seconds(3));
+  EXPECT_EQ(estimator.slowness("w"), 1);
 }
 
 // Guards against a slowness that is kept after the worker has returned to its
 // usual speed.
-TEST(SpeedBook, AdaptsWhenASpeedChanges) {
-  SpeedBook book;
+TEST(WorkerSpeedEstimator, AdaptsWhenASpeedChanges) {
+  WorkerSpeedEstimator estimator;
   auto runSteps = [&](double slow, int from) {
     for (int s = from; s < from + 12; ++s)
       for (const char *w : {"a", "b", "c"})
-        book.took(std::to_string(s), w,
-                  absl::Seconds(*w == 'c' ? 2 * slow : 2.0));
+        estimator.recordRunDuration(std::to_string(s), w,
+                                    absl::Seconds(*w == 'c' ? 2 * slow : 2.0));
   };
   runSteps(6, 0);
-  EXPECT_GT(book.slowness("c"), 3);
+  EXPECT_GT(estimator.slowness("c"), 3);
   runSteps(1, 100);
-  EXPECT_LT(book.slowness("c"), 1.5);
+  EXPECT_LT(estimator.slowness("c"), 1.5);
 }
 
 } // namespace
--- a/tests/auto/jobs/tst_demandbook.cpp
+++ b/tests/auto/jobs/tst_urgentdemandestimator.cpp
@@ -1,4 +1,4 @@
-#include "jobs/demandbook.h"
+#include "jobs/urgentdemandestimator.h"
 
 #include <gtest/gtest.h>
 
@@ -28,14 +28,14 @@
 // bounds of the case.
 TEST_P(DemandEstimate, TracksRecentArrivals) {
   const DemandCase &c = GetParam();
-  DemandBook book;
+  UrgentDemandEstimator estimator;
   absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   for (int ms = 0; ms < c.DurationMs; ms += c.IntervalMs) {
-    book.arrived(c.Accelerators, now);
+    estimator.recordArrival(c.Accelerators, now);
     now += absl::Milliseconds(c.IntervalMs);
   }
   now += absl::Milliseconds(c.IdleMs);
-  const double need = book.within(absl::Seconds(1), now);
+  const double need = estimator.expectedDemand(absl::Seconds(1), now);
   EXPECT_GE(need, c.AtLeast);
   EXPECT_LE(need, c.AtMost);
 }
--- a/tests/bench/jobsbench/main.cpp
+++ b/tests/bench/jobsbench/main.cpp
@@ -77,7 +77,7 @@
        "capacity is reserved for two waiting gangs at any site size",
        [](P &p) { p.WorkersPerKept = 1 << 20; }},
       {"one_failure", "one failed run quarantines a worker",
-       [](P &p) { p.Fleet.FailuresInARow = 1; }},
+       [](P &p) { p.Fleet.FailuresBeforeQuarantine = 1; }},
       {"little_waste", "little work may be discarded for urgent work",
        [](P &p) { p.WasteForAny = 40; }}};
   return all;
