--- a/src/app/entry/jobscommand.cpp
+++ b/src/app/entry/jobscommand.cpp
@@ -41,7 +41,7 @@
               endpoints::makeNngPeers(Loop, "tcp://" + Settings.Peers.text()),
               Settings, adapter::readConfig, adapter::ConfigKey,
               metricObservers()),
-        Callers(Loop, Entry.desk(), Settings.Callers.Host,
+        Callers(Loop, Entry.jobService(), Settings.Callers.Host,
                 Settings.Callers.Port),
         Ready(
             Loop, [this](std::string *why) { return Entry.ready(why); },
--- a/src/libs/entry/decisionlog.cpp
+++ b/src/libs/entry/decisionlog.cpp
@@ -22,7 +22,7 @@
     return Event::RunStopping;
   case Kind::Ended:
     return Event::RunEnded;
-  case Kind::Settled:
+  case Kind::RunResolved:
     return Event::RunSettled;
   case Kind::JobEnded:
     return Event::LastingJobEnded;
@@ -30,9 +30,9 @@
     return Event::WorkerJoined;
   case Kind::WorkerLost:
     return Event::WorkerLost;
-  case Kind::WorkerKeptOut:
+  case Kind::WorkerQuarantined:
     return Event::WorkerKeptOut;
-  case Kind::RunStandsStill:
+  case Kind::RunStalledOrSlow:
     return Event::RunStandsStill;
   case Kind::RunEvacuated:
     return Event::RunEvacuated;
@@ -42,9 +42,9 @@
     return Event::SuspectCleared;
   case Kind::Waiting:
     return Event::StepWaiting;
-  case Kind::Promised:
+  case Kind::DeadlineSet:
     return Event::JobPromised;
-  case Kind::RoomPlanned:
+  case Kind::CapacityPlanned:
     return Event::RoomPlanned;
   }
   return Event::RunPlaced;
@@ -64,7 +64,7 @@
     fields["worker"] = d.Worker;
   if (!d.Why.empty())
     fields["why"] = d.Why;
-  for (const jobs::Input &input : d.Inputs)
+  for (const jobs::DecisionInput &input : d.Inputs)
     fields[input.Name] = input.Value;
   for (const auto &[name, text] : d.Texts)
     fields[name] = text;
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -95,7 +95,7 @@
         if (Session)
           Session->onRemoved(id);
         if (Service)
-          Service->forget(id);
+          Service->onRecordRemoved(id);
       },
       [this](const std::string &id) {
         if (Service)
@@ -106,12 +106,12 @@
         logEvent(Event::RecordRefused, {{"key", key}, {"error", e.text()}});
       },
       storeErrorLogger("jobs"));
-  jobs::DeskPolicy servicePolicy;
-  servicePolicy.OldestConfig = Time.OldestConfig;
-  servicePolicy.FreshView = Time.FreshConfig;
+  jobs::JobServicePolicy servicePolicy;
+  servicePolicy.MaxConfigAge = Time.MaxConfigAge;
+  servicePolicy.MaxViewAge = Time.FreshConfig;
   Forwarder = std::make_unique<CallForwarder>(
       Loop, Peers, [this] { return otherEntries(); });
-  Service = std::make_unique<jobs::JobDesk>(
+  Service = std::make_unique<jobs::JobService>(
       Loop, Calls, *View, *Config, servicePolicy,
       [this] { return Health.failingSince(); },
       [this](const jobs::CallRequest &call, const jobs::OnForwarded &done) {
@@ -163,7 +163,7 @@
     reason = "no configuration yet";
   else if (Config->age(Loop.now()) > Time.NotReadyAfter)
     reason = "the configuration has not been confirmed for too long";
-  else if (!View->complete())
+  else if (!View->isComplete())
     reason = "the jobs have not been read yet";
   if (reason != nullptr && why != nullptr)
     *why = reason;
@@ -229,7 +229,7 @@
             {"revision", ownStamp.Revision},
             {"newer_version", newer.Version},
             {"newer_revision", newer.Revision},
-            {"config_age_ms", jobs::shownAgeMs(Config->age(Loop.now()))}});
+            {"config_age_ms", jobs::loggedAgeMs(Config->age(Loop.now()))}});
 }
 
 void JobEntry::logStoreError(const char *what, platform::StoreStatus status,
@@ -265,15 +265,15 @@
   options.DoubtfulAfter = Time.LeaderLease;
   options.Policy.Fleet.UnresponsiveAfter = Time.UnresponsiveAfter;
   options.Policy.Fleet.LostAfter = Time.GrantOverAfter;
-  options.Policy.UnheardLostAfter =
+  options.Policy.UnreportedLostAfter =
       Time.GrantWithoutStore + Time.GrantOverAfter;
   options.Policy.RemoteFactor = Settings.Bounds.RemoteFactor;
   options.Policy.GangWait = absl::Milliseconds(Settings.Bounds.GangWaitMs);
   options.Policy.Progress.RestoreTime =
       absl::Milliseconds(Settings.Bounds.RestoreMs);
-  options.Policy.StopTakes = absl::Milliseconds(Settings.Bounds.StopGraceMs);
+  options.Policy.StopDuration = absl::Milliseconds(Settings.Bounds.StopGraceMs);
   options.Policy.ReclaimAfter = Time.ReclaimAfter;
-  options.Policy.KeepFinished =
+  options.Policy.FinishedJobRetention =
       absl::Milliseconds(Settings.Bounds.KeepFinishedMs) * 5 / 4;
   options.Policy.WallMs = [] { return absl::ToUnixMillis(utils::wallNow()); };
   Session = std::make_unique<LeaderDuty>(
@@ -287,7 +287,7 @@
       [this](platform::StoreStatus status, const std::string &why) {
         logStoreError("recorder", status, why);
       },
-      [this](const std::string &jobId) { Service->expectEnd(jobId); },
+      [this](const std::string &jobId) { Service->onEndPending(jobId); },
       [this](const jobs::ProgressWrite &write, int64_t revision) {
         // The watch reports the same record, but can be delayed for seconds
         // while the store drops its history. Until then the entry that has
--- a/src/libs/entry/jobentry.h
+++ b/src/libs/entry/jobentry.h
@@ -2,7 +2,7 @@
 
 #include "callforwarder.h"
 #include "endpoints/peers.h"
-#include "jobs/jobdesk.h"
+#include "jobs/jobservice.h"
 #include "jobs/jobview.h"
 #include "leaderduty.h"
 #include "operators/configfollower.h"
@@ -58,7 +58,7 @@
   JobEntry &operator=(const JobEntry &) = delete;
 
   void start();
-  jobs::JobDesk &desk() { return *Service; }
+  jobs::JobService &jobService() { return *Service; }
   /// Whether this entry can serve callers now. If not, the reason is stored in
   /// why.
   bool ready(std::string *why = nullptr) const;
@@ -111,7 +111,7 @@
   std::unique_ptr<operators::ConfigFollower> Config;
   std::unique_ptr<jobs::JobView> View;
   std::unique_ptr<CallForwarder> Forwarder;
-  std::unique_ptr<jobs::JobDesk> Service;
+  std::unique_ptr<jobs::JobService> Service;
   std::unique_ptr<platform::PrefixFollower> Entries;
   std::unique_ptr<platform::Election> Election;
   std::unique_ptr<LeaderDuty> Session;
--- a/src/libs/entry/leaderduty.cpp
+++ b/src/libs/entry/leaderduty.cpp
@@ -49,7 +49,7 @@
   Predecessors::Options options;
   options.LeaderKey = Options.LeaderKey;
   options.OwnTerm = {Epoch, Options.Address};
-  options.TimeLimit = Options.Policy.UnheardLostAfter;
+  options.TimeLimit = Options.Policy.UnreportedLostAfter;
   Previous = std::make_unique<Predecessors>(
       Loop, Calls, Peers, options,
       [this, onRegistered = std::move(onRegistered)] {
@@ -57,7 +57,7 @@
         onRegistered();
       },
       [this](absl::Time goneSince) {
-        Scheduler.onPredecessorsGone(goneSince);
+        Scheduler.onPreviousLeadersGone(goneSince);
       });
   Previous->start();
 }
@@ -154,7 +154,7 @@
   decideIfDue();
   writeProgress();
   sendOrders();
-  for (const std::string &id : Scheduler.takeEnding())
+  for (const std::string &id : Scheduler.takeEndingJobs())
     ReportEnding(id);
   for (const jobs::Decision &decision : Scheduler.takeDecisions())
     ReportDecision(decision);
@@ -204,7 +204,7 @@
                      ReportStoreError(reply.Status, reply.Why);
                      WritesPausedUntil = Loop.now() + Options.WriteRetryDelay;
                      for (const ProgressWrite &progressWrite : batch)
-                       Scheduler.onNotWritten(progressWrite.JobId);
+                       Scheduler.onWriteFailed(progressWrite.JobId);
                    }
                    postPass();
                  });
@@ -250,7 +250,7 @@
           Scheduler.onWritten(progressWrite.JobId, read.Version,
                               progress->ModRevision, Loop.now());
         }
-        Scheduler.onNotWritten(progressWrite.JobId);
+        Scheduler.onWriteFailed(progressWrite.JobId);
         if (spec->ModRevision != progressWrite.RecordRevision) {
           BOOST_LEAF_AUTO(record, jobs::decodeRecord(spec->Value));
           Scheduler.onRecord(record, spec->ModRevision, Loop.now());
@@ -259,7 +259,7 @@
       },
       [&](const utils::Error &e) {
         ReportStoreError(StoreStatus::Conflict, e.text());
-        Scheduler.onNotWritten(progressWrite.JobId);
+        Scheduler.onWriteFailed(progressWrite.JobId);
         return false;
       });
 }
@@ -269,7 +269,7 @@
 void LeaderDuty::removeExpiredJobs() {
   if (RemovalPending)
     return;
-  std::vector<std::string> expired = Scheduler.takeExpired(Loop.now());
+  std::vector<std::string> expired = Scheduler.takeExpiredJobs(Loop.now());
   if (expired.empty())
     return;
   expired.resize(std::min(expired.size(), JobsPerTxn));
--- a/src/libs/jobs/callanswer.cpp
+++ b/src/libs/jobs/callanswer.cpp
@@ -26,7 +26,7 @@
   return "unknown";
 }
 
-int64_t shownAgeMs(absl::Duration age) {
+int64_t loggedAgeMs(absl::Duration age) {
   constexpr absl::Duration MaxAge = absl::Hours(1);
   return absl::ToInt64Milliseconds(std::min(age, MaxAge));
 }
--- a/src/libs/jobs/callanswer.h
+++ b/src/libs/jobs/callanswer.h
@@ -57,7 +57,7 @@
 
 /// The age of a configuration in milliseconds for log lines, limited to an
 /// hour, because a configuration that was never confirmed has an infinite age.
-int64_t shownAgeMs(absl::Duration age);
+int64_t loggedAgeMs(absl::Duration age);
 
 /// A call, the configuration that it was checked against, and its answer, for
 /// the log.
--- a/src/libs/jobs/jobrecord.cpp
+++ b/src/libs/jobs/jobrecord.cpp
@@ -192,7 +192,7 @@
   return "unknown";
 }
 
-JobState shownState(const JobRecord &record, const JobProgress *progress) {
+JobState visibleStateOf(const JobRecord &record, const JobProgress *progress) {
   const JobState state =
       progress != nullptr ? progress->State : JobState::Queued;
   if (!isFinal(state) && record.Cancelled)
--- a/src/libs/jobs/jobrecord.h
+++ b/src/libs/jobs/jobrecord.h
@@ -78,7 +78,7 @@
 
 /// The state to report to callers: Cancelled as soon as the job is cancelled,
 /// unless it had ended before.
-JobState shownState(const JobRecord &record, const JobProgress *progress);
+JobState visibleStateOf(const JobRecord &record, const JobProgress *progress);
 
 /// Encode and decode the stored values as CBOR. Decoding fails with
 /// ErrorKind::BadMessage if bytes are not a valid value.
--- a/src/libs/jobs/jobscheduler.cpp
+++ b/src/libs/jobs/jobscheduler.cpp
@@ -16,16 +16,17 @@
 JobScheduler::JobScheduler(SchedulerPolicy policy, int64_t epoch,
                            absl::Time electedAt)
     : Policy(std::move(policy)), Epoch(epoch), ElectedAt(electedAt),
-      UnreportedLostAt(electedAt + Policy.UnheardLostAfter),
+      UnreportedLostAt(electedAt + Policy.UnreportedLostAfter),
       Workers(Policy.Fleet), Progress(Policy.Progress),
       Estimates(Policy.Progress), Speeds(Policy.Speed) {}
 
 JobScheduler::~JobScheduler() = default;
 
-void JobScheduler::note(Decision::Kind kind, const std::string &job,
-                        const std::string &task, int64_t run,
-                        const std::string &worker, const std::string &why,
-                        std::vector<Input> inputs) {
+void JobScheduler::logDecision(Decision::Kind kind, const std::string &job,
+                               const std::string &task, int64_t run,
+                               const std::string &worker,
+                               const std::string &why,
+                               std::vector<DecisionInput> inputs) {
   Decisions.push_back({kind, job, task, run, worker, why, std::move(inputs)});
 }
 
@@ -38,8 +39,8 @@
   return worker == nullptr ? 1 : Speeds.slowness(worker->Agent);
 }
 
-int64_t JobScheduler::heardMsAgo(const WorkerLife &incarnation,
-                                 absl::Time now) const {
+int64_t JobScheduler::lastReportAgeMs(const WorkerLife &incarnation,
+                                      absl::Time now) const {
   const WorkerView *worker = Workers.find(incarnation);
   return worker == nullptr
              ? -1
@@ -62,8 +63,8 @@
   return &step[static_cast<size_t>(id.Index)];
 }
 
-std::vector<JobScheduler::Step> &JobScheduler::occurrence(Job &job,
-                                                          int number) {
+std::vector<JobScheduler::Step> &JobScheduler::ensureOccurrence(Job &job,
+                                                                int number) {
   std::vector<Step> &steps = job.Occurrences[number];
   if (steps.empty())
     for (const core::StepSpec &spec : job.Record.Spec.Steps)
@@ -110,13 +111,14 @@
   job.DeadlineLogged = true;
   const JobDeadline deadline = computeDeadline(job);
   const core::JobSpec &spec = job.Record.Spec;
-  note(Decision::Kind::Promised, spec.Id, "", 0, "", "",
-       {{"priority", job.Record.Priority},
-        {"chain_ms", absl::ToInt64Milliseconds(deadline.CriticalPath)},
-        {"within_ms", absl::ToInt64Milliseconds(deadline.RelativeDeadline)},
-        {"stretch_percent", static_cast<int64_t>(job.Record.Stretch * 100)},
-        {"target_ms", job.Record.TargetLatencyMs},
-        {"accelerators", Workers.capacityOf(serviceOf(job)).Accelerators}});
+  logDecision(
+      Decision::Kind::DeadlineSet, spec.Id, "", 0, "", "",
+      {{"priority", job.Record.Priority},
+       {"chain_ms", absl::ToInt64Milliseconds(deadline.CriticalPath)},
+       {"within_ms", absl::ToInt64Milliseconds(deadline.RelativeDeadline)},
+       {"stretch_percent", static_cast<int64_t>(job.Record.Stretch * 100)},
+       {"target_ms", job.Record.TargetLatencyMs},
+       {"accelerators", Workers.capacityOf(serviceOf(job)).Accelerators}});
   Decisions.back().Texts = {{"queue", spec.Queue},
                             {"organisation", spec.Organisation},
                             {"asked", core::summary(spec)},
@@ -128,8 +130,8 @@
                      [](const Task &t) { return t.Progress.Done; });
 }
 
-bool JobScheduler::stepReady(const Job &job, const std::vector<Step> &steps,
-                             size_t step) {
+bool JobScheduler::isStepReady(const Job &job, const std::vector<Step> &steps,
+                               size_t step) {
   const auto &after = job.Record.Spec.Steps[step].After;
   return std::all_of(after.begin(), after.end(), [&](int s) {
     return isStepDone(steps[static_cast<size_t>(s)]);
@@ -142,7 +144,7 @@
 }
 
 void JobScheduler::checkJobEnd(Job &job, absl::Time now) {
-  if (job.over())
+  if (job.hasEnded())
     return;
   if (job.HasSuspects) {
     const std::string cause = crashFailureCause(job);
@@ -176,12 +178,12 @@
   if (state != JobState::Cancelled)
     EndingJobs.push_back(job.Record.Spec.Id);
   logDeadline(job);
-  note(Decision::Kind::JobEnded, job.Record.Spec.Id, "", 0, "",
-       jobStateName(state),
-       {{"priority", job.Record.Priority},
-        {"took_ms", absl::ToInt64Milliseconds(now - job.Arrived)},
-        {"within_ms",
-         absl::ToInt64Milliseconds(computeDeadline(job).RelativeDeadline)}});
+  logDecision(Decision::Kind::JobEnded, job.Record.Spec.Id, "", 0, "",
+              jobStateName(state),
+              {{"priority", job.Record.Priority},
+               {"took_ms", absl::ToInt64Milliseconds(now - job.Arrived)},
+               {"within_ms", absl::ToInt64Milliseconds(
+                                 computeDeadline(job).RelativeDeadline)}});
   Decisions.back().Texts = {{"queue", job.Record.Spec.Queue}};
   if (!cause.empty())
     Decisions.back().Texts["cause"] = cause;
@@ -199,8 +201,8 @@
 void JobScheduler::orderStart(Job &job, const TaskId &id, Task &task,
                               absl::Time now) {
   const WorkerView *worker = Workers.find(task.Progress.Worker);
-  const bool isFirstOrder = task.What == Phase::Recording;
-  if (worker == nullptr || worker->State.Draining || task.StopAsked) {
+  const bool isFirstOrder = task.RunPhase == Phase::Recording;
+  if (worker == nullptr || worker->State.Draining || task.StopRequested) {
     if (isFirstOrder)
       handleAbsentRun(job, id, task,
                       "not ordered: its stop was requested or its worker is "
@@ -214,9 +216,9 @@
                     "not ordered: the capacity of its worker was reduced");
     return;
   }
-  task.What = Phase::Ordered;
+  task.RunPhase = Phase::Ordered;
   task.LastOrderAt = now;
-  task.Began = absl::InfinitePast();
+  task.StartedAt = absl::InfinitePast();
   endpoints::WorkerOrders &orders = Orders[worker->AgentAddress];
   orders.Life = task.Progress.Worker;
   endpoints::StartOrder startOrder{core::taskName(id),
@@ -238,18 +240,18 @@
   orders.Stops.push_back({core::taskName(id), task.Progress.Run});
 }
 
-void JobScheduler::start(Job &job, const TaskId &id,
-                         const WorkerLife &incarnation,
-                         const std::string &saved, int64_t run, int rank,
-                         absl::Time now) {
+void JobScheduler::assignRun(Job &job, const TaskId &id,
+                             const WorkerLife &incarnation,
+                             const std::string &saved, int64_t run, int rank,
+                             absl::Time now) {
   Task &task = *findTask(id);
   task.Progress.Run = run;
   task.Progress.Worker = incarnation;
   task.Progress.Agent = Workers.find(incarnation)->Agent;
   task.Progress.Saved = saved;
-  task.What = Phase::Recording;
+  task.RunPhase = Phase::Recording;
   task.StartWriteVersion = job.Version + 1;
-  task.StopAsked = false;
+  task.StopRequested = false;
   task.Percent = 0;
   task.StartObserved = false;
   task.ListedByWorker = false;
@@ -261,14 +263,14 @@
   job.Dirty = true;
   Workers.allocate(incarnation, {core::taskName(id), run},
                    job.specOf(id).room());
-  note(Decision::Kind::Placed, id.Job, core::taskName(id), run, incarnation.Id,
-       "",
-       {{"rank", rank},
-        {"waited_ms", absl::ToInt64Milliseconds(now - job.Arrived)},
-        {"worker_heard_ms_ago", heardMsAgo(incarnation, now)},
-        {"accelerators_left",
-         Workers.find(incarnation)->freeResources().Accelerators},
-        {"config_version", Config->Version}});
+  logDecision(Decision::Kind::Placed, id.Job, core::taskName(id), run,
+              incarnation.Id, "",
+              {{"rank", rank},
+               {"waited_ms", absl::ToInt64Milliseconds(now - job.Arrived)},
+               {"worker_heard_ms_ago", lastReportAgeMs(incarnation, now)},
+               {"accelerators_left",
+                Workers.find(incarnation)->freeResources().Accelerators},
+               {"config_version", Config->Version}});
 }
 
 void JobScheduler::trackProgress(const TaskId &id, const Task &task,
@@ -283,8 +285,8 @@
 
 // Whether the run is expected to be slow where it is: outside the rack of its
 // data, or as a member of a gang that is spread over several racks.
-bool JobScheduler::isAway(const Job &job, const TaskId &id,
-                          const Task &task) const {
+bool JobScheduler::isRemote(const Job &job, const TaskId &id,
+                            const Task &task) const {
   const core::StepSpec &spec = job.specOf(id);
   const WorkerView *worker = Workers.find(task.Progress.Worker);
   if (worker == nullptr)
@@ -300,7 +302,7 @@
   });
 }
 
-void JobScheduler::onPredecessorsGone(absl::Time endTime) {
+void JobScheduler::onPreviousLeadersGone(absl::Time endTime) {
   UnreportedLostAt =
       std::min(UnreportedLostAt, endTime + Policy.Fleet.LostAfter);
 }
@@ -321,7 +323,7 @@
 }
 
 void JobScheduler::tick(absl::Time now) {
-  PassNeeded |= Waits;
+  PassNeeded |= RetryOnTick;
   RunMonitor(*this, now).checkRuns();
   for (const WorkerLife &incarnation : Workers.takeLost(now))
     handleIncarnationEnd(
@@ -331,19 +333,19 @@
   endUnreportedIncarnations(now);
   for (auto &entry : Jobs) {
     Job &job = entry.second;
-    if (!job.over() && fleetKnown(now))
+    if (!job.hasEnded() && isFleetKnown(now))
       logDeadline(job);
-    if (!job.over() &&
+    if (!job.hasEnded() &&
         dueOccurrences(job) > static_cast<int>(job.Occurrences.size()))
       PassNeeded = true;
     forEachTask(job, [&](const TaskId &id, Task &task) {
-      if (!task.mayRun() || task.What == Phase::Recording)
+      if (!task.isAssigned() || task.RunPhase == Phase::Recording)
         return;
       if (now - task.LastOrderAt < Policy.OrderResendInterval)
         return;
-      if (task.StopAsked)
+      if (task.StopRequested)
         orderStop(id, task, now);
-      else if (task.What == Phase::Ordered)
+      else if (task.RunPhase == Phase::Ordered)
         orderStart(job, id, task, now);
     });
   }
@@ -353,7 +355,7 @@
   if (!PassNeeded || Config == nullptr)
     return;
   PassNeeded = false;
-  Waits = false;
+  RetryOnTick = false;
   ++PassCount;
   Planner(*this, now).run();
 }
@@ -368,14 +370,14 @@
   return std::exchange(Decisions, {});
 }
 
-std::vector<std::string> JobScheduler::takeEnding() {
+std::vector<std::string> JobScheduler::takeEndingJobs() {
   return std::exchange(EndingJobs, {});
 }
 
 size_t JobScheduler::activeJobs() const {
   return static_cast<size_t>(
       std::count_if(Jobs.begin(), Jobs.end(),
-                    [](const auto &j) { return !j.second.over(); }));
+                    [](const auto &j) { return !j.second.hasEnded(); }));
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/jobscheduler.h
+++ b/src/libs/jobs/jobscheduler.h
@@ -32,39 +32,39 @@
   /// Time after the election by which all tasks have certainly ended at workers
   /// that never reported to this leader. Until then a previous leader may have
   /// kept them alive.
-  absl::Duration UnheardLostAfter = absl::Seconds(18);
+  absl::Duration UnreportedLostAfter = absl::Seconds(18);
   /// Factor by which a gang that is spread over several racks, or a task that
   /// runs outside the rack of its data, takes longer.
   double RemoteFactor = 3.0;
   /// How long callers can query a job after its end.
-  absl::Duration KeepFinished = absl::Seconds(150);
+  absl::Duration FinishedJobRetention = absl::Seconds(150);
   /// Bound on the work that may be discarded so that a job of priority 0 beyond
   /// its organisation's guarantee meets its deadline, in core-seconds (an
-  /// accelerator counts as eight cores). The bound is the constant WasteForAny,
-  /// which lets even the smallest jobs stop something, plus the share
-  /// WasteForOwnWork of the job's own work. A late urgent answer is worth
-  /// little to its caller, which justifies stopping this much; the stopped jobs
-  /// may become late themselves.
-  double WasteForOwnWork = 0.2;
-  double WasteForAny = 200;
+  /// accelerator counts as eight cores). The bound is the constant
+  /// MaxLostWorkBase, which lets even the smallest jobs stop something, plus
+  /// the share MaxLostWorkShare of the job's own work. A late urgent answer is
+  /// worth little to its caller, which justifies stopping this much; the
+  /// stopped jobs may become late themselves.
+  double MaxLostWorkShare = 0.2;
+  double MaxLostWorkBase = 200;
   /// Capacity that batch work leaves on empty workers, as a multiple of what
-  /// the urgent jobs that arrive within StopTakes are expected to request.
+  /// the urgent jobs that arrive within StopDuration are expected to request.
   double Headroom = 1;
   /// Number of waiting gangs that capacity is reserved for at the same time:
-  /// LeastKept or, on a large site, one for every WorkersPerKept workers,
-  /// whichever is more. With one reservation the next large gang would starve;
-  /// with many the site would stand idle.
-  int LeastKept = 2;
-  int WorkersPerKept = 24;
+  /// MinReservedGangs or, on a large site, one for every WorkersPerReservedGang
+  /// workers, whichever is more. With one reservation the next large gang would
+  /// starve; with many the site would stand idle.
+  int MinReservedGangs = 2;
+  int WorkersPerReservedGang = 24;
   /// Expected time from the request to stop a run to its end.
-  absl::Duration StopTakes = absl::Milliseconds(400);
+  absl::Duration StopDuration = absl::Milliseconds(400);
   /// Time after submission by which a job within its organisation's guarantee
   /// gets its capacity, however much work that discards.
   absl::Duration ReclaimAfter = absl::Milliseconds(1500);
   /// Time to stop a run and to start it on another worker, and how often a task
   /// may be moved because it is too slow.
   absl::Duration MoveCost = absl::Milliseconds(800);
-  int MostMoves = 2;
+  int MaxMoves = 2;
   /// Time after the election by which every live worker has reported to the
   /// leader: two report periods. Deadlines of jobs depend on the capacity of
   /// all workers.
@@ -94,7 +94,7 @@
 };
 
 /// A number that a decision was based on, for the log.
-struct Input {
+struct DecisionInput {
   const char *Name;
   int64_t Value = 0;
 };
@@ -107,18 +107,18 @@
     StartRefused,
     Stopping,
     Ended,
-    Settled,
+    RunResolved,
     JobEnded,
     WorkerJoined,
     WorkerLost,
-    WorkerKeptOut,
-    RunStandsStill,
+    WorkerQuarantined,
+    RunStalledOrSlow,
     RunEvacuated,
     RunCrashedWorker,
     SuspectCleared,
     Waiting,
-    Promised,
-    RoomPlanned,
+    DeadlineSet,
+    CapacityPlanned,
   };
   Kind What = Kind::Placed;
   std::string Job;
@@ -126,13 +126,13 @@
   int64_t Run = 0;
   std::string Worker;
   std::string Why;
-  std::vector<Input> Inputs;
+  std::vector<DecisionInput> Inputs;
   /// Inputs that are not numbers, by name.
   std::map<std::string, std::string> Texts = {};
 
   /// The value of the input called name, or zero if there is none.
   int64_t input(std::string_view name) const {
-    for (const Input &i : Inputs)
+    for (const DecisionInput &i : Inputs)
       if (i.Name == name)
         return i.Value;
     return 0;
@@ -179,10 +179,10 @@
   void onWritten(const std::string &jobId, int64_t version, int64_t revision,
                  absl::Time now);
   /// The write failed or its outcome is unknown; it has to be repeated.
-  void onNotWritten(const std::string &jobId);
+  void onWriteFailed(const std::string &jobId);
 
   /// No previous leader has kept tasks alive since endTime.
-  void onPredecessorsGone(absl::Time endTime);
+  void onPreviousLeadersGone(absl::Time endTime);
 
   /// Repeats orders without an answer, detects lost workers, stalled or slow
   /// runs and due occurrences. Must be called a few times a second.
@@ -195,13 +195,13 @@
   std::vector<Decision> takeDecisions();
   /// Returns the jobs that completed or failed since the last call; their ends
   /// are being recorded.
-  std::vector<std::string> takeEnding();
+  std::vector<std::string> takeEndingJobs();
   /// Returns the jobs that can be removed from the store: they ended more than
-  /// KeepFinished ago and have no task on any worker.
-  std::vector<std::string> takeExpired(absl::Time now);
+  /// FinishedJobRetention ago and have no task on any worker.
+  std::vector<std::string> takeExpiredJobs(absl::Time now);
 
   /// Number of scheduling passes so far.
-  int64_t passes() const { return PassCount; }
+  int64_t passCount() const { return PassCount; }
   size_t activeJobs() const;
   int64_t epoch() const { return Epoch; }
   const Fleet &fleet() const { return Workers; }
@@ -223,11 +223,11 @@
   };
   struct Task {
     TaskProgress Progress;
-    Phase What = Phase::Idle;
-    bool StopAsked = false;
+    Phase RunPhase = Phase::Idle;
+    bool StopRequested = false;
     /// Version of the job's progress that records the start.
     int64_t StartWriteVersion = 0;
-    absl::Time Began = absl::InfinitePast();
+    absl::Time StartedAt = absl::InfinitePast();
     /// The run started under this leader, so that its start time is known.
     bool StartObserved = false;
     /// The worker has listed the run as running.
@@ -240,24 +240,24 @@
     bool CountCrashIfAbsent = false;
     absl::Time LastOrderAt = absl::InfinitePast();
     int Percent = 0;
-    absl::Time PercentAt = absl::InfinitePast();
+    absl::Time PercentReportedAt = absl::InfinitePast();
     /// The run's speed has been compared with other tasks of the same step.
     bool SpeedCompared = false;
     /// Duration of the run that completed the task.
-    absl::Duration Took = absl::ZeroDuration();
+    absl::Duration RunDuration = absl::ZeroDuration();
     /// How often the task was moved because it was too slow.
     int Moves = 0;
     std::set<WorkerLife> FailedOn;
 
     /// A worker may be running the task.
-    bool mayRun() const { return !Progress.Worker.empty(); }
+    bool isAssigned() const { return !Progress.Worker.empty(); }
     /// The task may have crashed a worker.
     bool isSuspect() const { return !Progress.CrashedAt.empty(); }
     /// The worker has survived the start of the run by CrashShowsWithin, so
     /// that the run is not one that crashes workers.
-    bool outlived() const {
-      return What == Phase::Running &&
-             PercentAt - Began >= endpoints::CrashShowsWithin;
+    bool hasOutlivedCrashWindow() const {
+      return RunPhase == Phase::Running &&
+             PercentReportedAt - StartedAt >= endpoints::CrashShowsWithin;
     }
   };
   using Step = std::vector<Task>;
@@ -289,12 +289,12 @@
     bool DeadlineLogged = false;
     /// The latest outcome of planning capacity for a waiting step, by
     /// occurrence and step. Logged when it changes.
-    std::map<std::pair<int, int>, const char *> RoomPlanLogged;
+    std::map<std::pair<int, int>, const char *> LoggedCapacityPlans;
 
     /// Rank in the planner's latest pass; see Planner::Unit.
     int Rank = 0;
 
-    bool over() const { return isFinal(State); }
+    bool hasEnded() const { return isFinal(State); }
     const core::StepSpec &specOf(const core::TaskId &id) const {
       return Record.Spec.Steps[static_cast<size_t>(id.Step)];
     }
@@ -312,7 +312,7 @@
   /// Null if the job, occurrence, step or index does not exist.
   Task *findTask(const core::TaskId &id);
   /// The steps of an occurrence of the job, which is created if necessary.
-  std::vector<Step> &occurrence(Job &job, int number);
+  std::vector<Step> &ensureOccurrence(Job &job, int number);
   /// Number of the job's occurrences that are due by now.
   int dueOccurrences(const Job &job) const;
   const std::string &serviceOf(const Job &job) const;
@@ -322,14 +322,14 @@
   JobDeadline computeDeadline(const Job &job) const;
   /// Enough time has passed since the election for every live worker to have
   /// reported.
-  bool fleetKnown(absl::Time now) const {
+  bool isFleetKnown(absl::Time now) const {
     return now - ElectedAt >= Policy.FleetDiscoveryTime;
   }
   void logDeadline(Job &job);
   static bool isStepDone(const Step &step);
   /// All steps that the step has to follow are done.
-  static bool stepReady(const Job &job, const std::vector<Step> &steps,
-                        size_t step);
+  static bool isStepReady(const Job &job, const std::vector<Step> &steps,
+                          size_t step);
   template <class Callback> void forEachTask(Job &job, Callback callback) {
     core::TaskId id{job.Record.Spec.Id, 0, 0, 0};
     for (auto &[number, steps] : job.Occurrences)
@@ -360,7 +360,7 @@
   void recordCrash(Job &job, const core::TaskId &id, Task &task);
   void clearSuspectIfOutlived(Job &job, const core::TaskId &id, Task &task);
   bool hasCrashedTooOften(const Task &task) const;
-  bool crashedLately(const std::string &agent, absl::Time now) const;
+  bool hasCrashedRecently(const std::string &agent, absl::Time now) const;
   void handleRunningTasks(const endpoints::WorkerReport &report,
                           absl::Time now);
   void resolveUnlistedRuns(const endpoints::WorkerReport &report,
@@ -396,22 +396,23 @@
   /// task has crashed too many workers.
   void checkJobEnd(Job &job, absl::Time now);
   std::string crashFailureCause(Job &job);
-  bool isAway(const Job &job, const core::TaskId &id, const Task &task) const;
+  bool isRemote(const Job &job, const core::TaskId &id, const Task &task) const;
   void endJob(Job &job, JobState state, absl::Time now,
               const std::string &cause = "");
   void orderStart(Job &job, const core::TaskId &id, Task &task, absl::Time now);
   void orderStop(const core::TaskId &id, Task &task, absl::Time now);
   /// Assigns the task's next run to the worker. The start is ordered once it is
   /// recorded.
-  void start(Job &job, const core::TaskId &id, const WorkerLife &incarnation,
-             const std::string &saved, int64_t run, int rank, absl::Time now);
+  void assignRun(Job &job, const core::TaskId &id,
+                 const WorkerLife &incarnation, const std::string &saved,
+                 int64_t run, int rank, absl::Time now);
   /// Adds a decision for the log.
-  void note(Decision::Kind kind, const std::string &job,
-            const std::string &task = "", int64_t run = 0,
-            const std::string &worker = "", const std::string &why = "",
-            std::vector<Input> inputs = {});
+  void logDecision(Decision::Kind kind, const std::string &job,
+                   const std::string &task = "", int64_t run = 0,
+                   const std::string &worker = "", const std::string &why = "",
+                   std::vector<DecisionInput> inputs = {});
   /// Time since the worker's latest report in milliseconds; -1 if unknown.
-  int64_t heardMsAgo(const WorkerLife &incarnation, absl::Time now) const;
+  int64_t lastReportAgeMs(const WorkerLife &incarnation, absl::Time now) const;
 
   const SchedulerPolicy Policy;
   const int64_t Epoch;
@@ -422,7 +423,7 @@
   ProgressTracker Progress;
   DurationEstimator Estimates;
   WorkerSpeedEstimator Speeds;
-  UrgentDemandEstimator Urgent;
+  UrgentDemandEstimator UrgentDemand;
   std::shared_ptr<const core::SiteConfig> Config;
   std::map<std::string, Job> Jobs;
   /// A worker incarnation that is named in a record and has not reported to
@@ -440,7 +441,7 @@
   bool PassNeeded = false;
   /// Some waiting task may become startable by the passage of time alone, so
   /// that the next tick triggers a scheduling pass.
-  bool Waits = false;
+  bool RetryOnTick = false;
   int64_t PassCount = 0;
   std::map<std::string, endpoints::WorkerOrders> Orders;
   std::vector<Decision> Decisions;
--- a/src/libs/jobs/jobscheduler_crashes.cpp
+++ b/src/libs/jobs/jobscheduler_crashes.cpp
@@ -18,22 +18,23 @@
   task.Progress.CrashedAt.push_back(task.Progress.Agent);
   job.HasSuspects = true;
   job.Dirty = true;
-  note(Decision::Kind::RunCrashedWorker, id.Job, core::taskName(id),
-       task.Progress.Run, task.Progress.Worker.Id, "it had just started there",
-       {{"crashes", static_cast<int64_t>(task.Progress.CrashedAt.size())}});
+  logDecision(
+      Decision::Kind::RunCrashedWorker, id.Job, core::taskName(id),
+      task.Progress.Run, task.Progress.Worker.Id, "it had just started there",
+      {{"crashes", static_cast<int64_t>(task.Progress.CrashedAt.size())}});
 }
 
 // A task that crashes workers does so at each start. A suspect whose worker
 // survived its start is therefore cleared.
 void JobScheduler::clearSuspectIfOutlived(Job &job, const TaskId &id,
                                           Task &task) {
-  if (!task.isSuspect() || !task.outlived())
+  if (!task.isSuspect() || !task.hasOutlivedCrashWindow())
     return;
   task.Progress.CrashedAt.clear();
   job.Dirty = true;
-  note(Decision::Kind::SuspectCleared, id.Job, core::taskName(id),
-       task.Progress.Run, task.Progress.Worker.Id,
-       "its worker survived the start");
+  logDecision(Decision::Kind::SuspectCleared, id.Job, core::taskName(id),
+              task.Progress.Run, task.Progress.Worker.Id,
+              "its worker survived the start");
   job.HasSuspects = false;
   forEachTask(job, [&](const TaskId &, const Task &other) {
     job.HasSuspects |= other.isSuspect();
@@ -59,8 +60,8 @@
   return cause;
 }
 
-bool JobScheduler::crashedLately(const std::string &agent,
-                                 absl::Time now) const {
+bool JobScheduler::hasCrashedRecently(const std::string &agent,
+                                      absl::Time now) const {
   auto it = LastCrashes.find(agent);
   return it != LastCrashes.end() && now - it->second < Policy.RecentCrashWindow;
 }
--- a/src/libs/jobs/jobscheduler_lives.cpp
+++ b/src/libs/jobs/jobscheduler_incarnations.cpp
@@ -16,7 +16,7 @@
 bool JobScheduler::canStillStart(const TaskId &id, const Task &task,
                                  const endpoints::LifeEnd &end,
                                  const WorkerLife *next, absl::Time now) const {
-  if (next == nullptr || task.What == Phase::Recording)
+  if (next == nullptr || task.RunPhase == Phase::Recording)
     return false;
   if (!next->empty() && next->Id != end.Life.Id)
     return false;
@@ -50,8 +50,8 @@
     Workers.allocate(next, {core::taskName(id), task.Progress.Run},
                      job.specOf(id).room());
   job.Dirty = true;
-  task.What = Phase::Ordered;
-  task.StopAsked = false;
+  task.RunPhase = Phase::Ordered;
+  task.StopRequested = false;
   requestStop(id, task, "may begin in its worker's next life");
   if (job.specOf(id).Gang)
     handleGangMemberEnd(job, id, endpoints::RunEnd::Broken);
--- a/src/libs/jobs/jobscheduler_records.cpp
+++ b/src/libs/jobs/jobscheduler_records.cpp
@@ -17,15 +17,16 @@
     job.Arrived = now;
     // Jobs that a new leader reads from the store arrived over minutes, not all
     // at once, and do not predict how many will arrive.
-    if (record.Priority == 0 && fleetKnown(now) && !record.Spec.Steps.empty()) {
+    if (record.Priority == 0 && isFleetKnown(now) &&
+        !record.Spec.Steps.empty()) {
       const core::StepSpec &first = record.Spec.Steps.front();
-      Urgent.recordArrival(first.Count * first.PerTask.Accelerators, now);
+      UrgentDemand.recordArrival(first.Count * first.PerTask.Accelerators, now);
     }
   }
   job.Record = record;
   job.RecordRevision = revision;
   PassNeeded = true;
-  if (record.Cancelled && !job.over())
+  if (record.Cancelled && !job.hasEnded())
     endJob(job, JobState::Cancelled, now);
 }
 
@@ -42,7 +43,7 @@
   job.State = progress.State;
   job.WrittenState = progress.State;
   for (const auto &[number, steps] : progress.Tasks) {
-    std::vector<Step> &jobSteps = occurrence(job, number);
+    std::vector<Step> &jobSteps = ensureOccurrence(job, number);
     for (size_t s = 0; s < std::min(steps.size(), jobSteps.size()); ++s)
       for (size_t i = 0; i < std::min(steps[s].size(), jobSteps[s].size());
            ++i) {
@@ -50,13 +51,13 @@
         job.HasSuspects |= jobSteps[s][i].isSuspect();
         // The previous leader may not have ordered the run. The worker's list
         // of running tasks shows whether it did.
-        if (jobSteps[s][i].mayRun()) {
-          jobSteps[s][i].What = Phase::Adopted;
+        if (jobSteps[s][i].isAssigned()) {
+          jobSteps[s][i].RunPhase = Phase::Adopted;
           UnreportedIncarnations[steps[s][i].Worker] = {steps[s][i].Agent};
         }
       }
   }
-  if (job.over())
+  if (job.hasEnded())
     job.FinishedAt = now;
   else if (job.Record.Cancelled)
     endJob(job, JobState::Cancelled, now);
@@ -111,7 +112,7 @@
   job.ProgressRevision = revision;
   job.WrittenVersion = version;
   forEachTask(job, [&](const TaskId &id, Task &task) {
-    if (task.What == Phase::Recording && task.StartWriteVersion <= version)
+    if (task.RunPhase == Phase::Recording && task.StartWriteVersion <= version)
       orderStart(job, id, task, now);
   });
   std::vector<Job::PendingEndAck> remaining;
@@ -123,7 +124,7 @@
   job.PendingEndAcks = std::move(remaining);
 }
 
-void JobScheduler::onNotWritten(const std::string &jobId) {
+void JobScheduler::onWriteFailed(const std::string &jobId) {
   auto it = Jobs.find(jobId);
   if (it == Jobs.end())
     return;
@@ -131,13 +132,13 @@
   it->second.Dirty = true;
 }
 
-std::vector<std::string> JobScheduler::takeExpired(absl::Time now) {
+std::vector<std::string> JobScheduler::takeExpiredJobs(absl::Time now) {
   std::vector<std::string> expired;
   for (auto &[id, job] : Jobs) {
     bool isRemovable = isFinal(job.State) && !job.Dirty && !job.Writing &&
-                       now - job.FinishedAt > Policy.KeepFinished;
+                       now - job.FinishedAt > Policy.FinishedJobRetention;
     forEachTask(job, [&](const TaskId &, Task &task) {
-      isRemovable = isRemovable && !task.mayRun();
+      isRemovable = isRemovable && !task.isAssigned();
     });
     if (isRemovable)
       expired.push_back(id);
--- a/src/libs/jobs/jobscheduler_reports.cpp
+++ b/src/libs/jobs/jobscheduler_reports.cpp
@@ -87,7 +87,7 @@
                          job.specOf(id).room());
     });
   }
-  note(Decision::Kind::WorkerJoined, "", "", 0, incarnation.Id);
+  logDecision(Decision::Kind::WorkerJoined, "", "", 0, incarnation.Id);
 }
 
 void JobScheduler::handleIncarnationEnd(const endpoints::LifeEnd &end,
@@ -95,9 +95,9 @@
                                         const WorkerLife *next,
                                         absl::Time now) {
   const WorkerLife &incarnation = end.Life;
-  note(Decision::Kind::WorkerLost, "", "", 0, incarnation.Id, why,
-       {{"elected_ms_ago", absl::ToInt64Milliseconds(now - ElectedAt)},
-        {"crashed", end.Crashed ? 1 : 0}});
+  logDecision(Decision::Kind::WorkerLost, "", "", 0, incarnation.Id, why,
+              {{"elected_ms_ago", absl::ToInt64Milliseconds(now - ElectedAt)},
+               {"crashed", end.Crashed ? 1 : 0}});
   const std::set<RunId> crashCandidates(end.JustBegun.begin(),
                                         end.JustBegun.end());
   for (auto &entry : Jobs) {
@@ -131,8 +131,8 @@
       endpoints::WorkerOrders &orders = Orders[report.AgentAddress];
       orders.Life = report.Worker.Life;
       orders.Stops.push_back({running.Task, running.Run});
-      note(Decision::Kind::Stopping, id.Job, running.Task, running.Run,
-           report.Worker.Life.Id, "no record of this run");
+      logDecision(Decision::Kind::Stopping, id.Job, running.Task, running.Run,
+                  report.Worker.Life.Id, "no record of this run");
       continue;
     }
     if (!running.Saved.empty())
@@ -141,18 +141,18 @@
     task->ListedByWorker = true;
     task->CountCrashIfAbsent = false;
     if (report.Reachable) {
-      task->PercentAt = now - absl::Milliseconds(report.ListedMsAgo);
-      trackProgress(id, *task, task->PercentAt);
+      task->PercentReportedAt = now - absl::Milliseconds(report.ListedMsAgo);
+      trackProgress(id, *task, task->PercentReportedAt);
       compareSpeedByProgress(id, *task);
     }
-    if (task->What != Phase::Running) {
-      if (task->Began == absl::InfinitePast()) {
-        task->Began = now;
-        task->StartObserved = task->What == Phase::Ordered;
-        note(Decision::Kind::Started, id.Job, running.Task, running.Run,
-             report.Worker.Life.Id);
+    if (task->RunPhase != Phase::Running) {
+      if (task->StartedAt == absl::InfinitePast()) {
+        task->StartedAt = now;
+        task->StartObserved = task->RunPhase == Phase::Ordered;
+        logDecision(Decision::Kind::Started, id.Job, running.Task, running.Run,
+                    report.Worker.Life.Id);
       }
-      task->What = Phase::Running;
+      task->RunPhase = Phase::Running;
     }
     clearSuspectIfOutlived(Jobs.at(id.Job), id, *task);
   }
@@ -170,7 +170,7 @@
     Job &job = entry.second;
     bool anyChanged = false;
     forEachTask(job, [&](const TaskId &id, Task &task) {
-      if (task.What != Phase::Adopted ||
+      if (task.RunPhase != Phase::Adopted ||
           task.Progress.Worker != report.Worker.Life ||
           listed.count({core::taskName(id), task.Progress.Run}) != 0)
         return;
@@ -197,12 +197,13 @@
   const bool isCounted = task != nullptr && !task->Progress.Done &&
                          end.Run <= task->Progress.Run &&
                          (isLatest || end.How == RunEnd::Done);
-  note(Decision::Kind::Ended, id.Job, end.Task, end.Run, incarnation.Id,
-       endpoints::runEndName(end.How),
-       {{"number", end.Number},
-        {"counts", isCounted ? 1 : 0},
-        {"failed_before", task == nullptr ? 0 : task->Progress.Failed},
-        {"attempts", task == nullptr ? 0 : Jobs.at(id.Job).Record.Attempts}});
+  logDecision(
+      Decision::Kind::Ended, id.Job, end.Task, end.Run, incarnation.Id,
+      endpoints::runEndName(end.How),
+      {{"number", end.Number},
+       {"counts", isCounted ? 1 : 0},
+       {"failed_before", task == nullptr ? 0 : task->Progress.Failed},
+       {"attempts", task == nullptr ? 0 : Jobs.at(id.Job).Record.Attempts}});
   if (task == nullptr) {
     Workers.markEndRecorded(incarnation, end.Number);
     return;
@@ -237,8 +238,8 @@
   Progress.forget({core::taskName(id), task.Progress.Run});
   task.Progress.Worker = {};
   task.Progress.Agent.clear();
-  task.What = Phase::Idle;
-  task.StopAsked = false;
+  task.RunPhase = Phase::Idle;
+  task.StopRequested = false;
   job.Dirty = true;
 }
 
@@ -248,16 +249,16 @@
 void JobScheduler::learnTaskDuration(const Job &job, const TaskId &id,
                                      Task &task, absl::Time now) {
   const core::StepSpec &spec = job.specOf(id);
-  if (task.Began == absl::InfinitePast() || !task.StartObserved ||
+  if (task.StartedAt == absl::InfinitePast() || !task.StartObserved ||
       !task.Progress.Saved.empty() || spec.LongRunning)
     return;
-  task.Took = now - task.Began;
-  if (isAway(job, id, task))
+  task.RunDuration = now - task.StartedAt;
+  if (isRemote(job, id, task))
     return;
-  compareSpeed(job, id, task, task.Took);
-  Estimates.recordTaskDuration(job.Record.Spec.Queue,
-                               absl::Milliseconds(spec.EstimateMs),
-                               task.Took / slownessOf(task.Progress.Worker));
+  compareSpeed(job, id, task, task.RunDuration);
+  Estimates.recordTaskDuration(
+      job.Record.Spec.Queue, absl::Milliseconds(spec.EstimateMs),
+      task.RunDuration / slownessOf(task.Progress.Worker));
 }
 
 // Estimates the worker's speed from the progress of a run long before its end.
@@ -268,10 +269,11 @@
       !task.StartObserved || !task.Progress.Saved.empty())
     return;
   const Job &job = Jobs.at(id.Job);
-  if (job.specOf(id).LongRunning || isAway(job, id, task))
+  if (job.specOf(id).LongRunning || isRemote(job, id, task))
     return;
   compareSpeed(job, id, task,
-               (task.PercentAt - task.Began) * (100 / (task.Percent + 0.5)));
+               (task.PercentReportedAt - task.StartedAt) *
+                   (100 / (task.Percent + 0.5)));
 }
 
 // Compares each run once. Members of a gang are left out: they wait for each
@@ -303,8 +305,8 @@
     task.FailedOn.insert(incarnation);
   if ((how == RunEnd::Done || how == RunEnd::Failed) &&
       Workers.recordEnd(incarnation, how == RunEnd::Done, now))
-    note(Decision::Kind::WorkerKeptOut, id.Job, core::taskName(id),
-         task.Progress.Run, incarnation.Id, "failed runs in a row");
+    logDecision(Decision::Kind::WorkerQuarantined, id.Job, core::taskName(id),
+                task.Progress.Run, incarnation.Id, "failed runs in a row");
   if (spec.Gang) {
     handleGangMemberEnd(job, id, how);
     return;
@@ -318,7 +320,7 @@
 // Applies the end of one member to the whole gang: if it is done, all members
 // are done; with any other end the run is over for all of them.
 void JobScheduler::handleGangMemberEnd(Job &job, const TaskId &id, RunEnd how) {
-  std::vector<Step> &steps = occurrence(job, id.Occurrence);
+  std::vector<Step> &steps = ensureOccurrence(job, id.Occurrence);
   Step &step = steps[static_cast<size_t>(id.Step)];
   const int64_t run = step[static_cast<size_t>(id.Index)].Progress.Run;
   for (size_t i = 0; i < step.size(); ++i) {
@@ -329,7 +331,7 @@
       member.Progress.Done = true;
     else if (how == RunEnd::Failed)
       ++member.Progress.Failed;
-    if (member.mayRun() && !member.Progress.Done)
+    if (member.isAssigned() && !member.Progress.Done)
       requestStop({id.Job, id.Occurrence, id.Step, static_cast<int>(i)}, member,
                   "another member of its gang ended");
   }
@@ -339,8 +341,8 @@
                                    const std::string &why) {
   if (std::exchange(task.CountCrashIfAbsent, false))
     recordCrash(job, id, task);
-  note(Decision::Kind::Settled, id.Job, core::taskName(id), task.Progress.Run,
-       task.Progress.Worker.Id, why);
+  logDecision(Decision::Kind::RunResolved, id.Job, core::taskName(id),
+              task.Progress.Run, task.Progress.Worker.Id, why);
   Workers.release(task.Progress.Worker,
                   {core::taskName(id), task.Progress.Run});
   PassNeeded = true;
@@ -351,14 +353,14 @@
 
 void JobScheduler::requestStop(const TaskId &id, Task &task,
                                const std::string &why) {
-  if (task.StopAsked || !task.mayRun())
+  if (task.StopRequested || !task.isAssigned())
     return;
-  task.StopAsked = true;
-  note(Decision::Kind::Stopping, id.Job, core::taskName(id), task.Progress.Run,
-       task.Progress.Worker.Id, why);
+  task.StopRequested = true;
+  logDecision(Decision::Kind::Stopping, id.Job, core::taskName(id),
+              task.Progress.Run, task.Progress.Worker.Id, why);
   // A start that is not recorded yet has not been ordered. It is dropped when
   // its write is confirmed.
-  if (task.What != Phase::Recording)
+  if (task.RunPhase != Phase::Recording)
     orderStop(id, task, absl::InfinitePast());
 }
 
@@ -376,17 +378,18 @@
   TaskId id;
   Task *task = core::parseTaskName(result.Task, id) ? findTask(id) : nullptr;
   if (task == nullptr || task->Progress.Run != result.Run ||
-      task->Progress.Worker != incarnation || task->What == Phase::Recording)
+      task->Progress.Worker != incarnation ||
+      task->RunPhase == Phase::Recording)
     return;
   Job &job = Jobs.at(id.Job);
   switch (result.Outcome) {
   case OrderOutcome::Started:
-    if (task->What != Phase::Running) {
-      task->What = Phase::Running;
-      task->Began = now;
+    if (task->RunPhase != Phase::Running) {
+      task->RunPhase = Phase::Running;
+      task->StartedAt = now;
       task->StartObserved = true;
-      note(Decision::Kind::Started, id.Job, result.Task, result.Run,
-           incarnation.Id);
+      logDecision(Decision::Kind::Started, id.Job, result.Task, result.Run,
+                  incarnation.Id);
     }
     return;
   case OrderOutcome::Unconfirmed:
@@ -398,8 +401,8 @@
     return;
   case OrderOutcome::Busy:
     if (Workers.recordEnd(incarnation, false, now))
-      note(Decision::Kind::WorkerKeptOut, id.Job, result.Task, result.Run,
-           incarnation.Id, "refuses starts");
+      logDecision(Decision::Kind::WorkerQuarantined, id.Job, result.Task,
+                  result.Run, incarnation.Id, "refuses starts");
     task->FailedOn.insert(incarnation);
     break;
   case OrderOutcome::Refused:
@@ -411,11 +414,12 @@
   // Ignores a late refusal and the refusal of a repeated order. A run that was
   // seen running and is now absent has certainly ended, even if the worker does
   // not list its end.
-  if (task->What == Phase::Running && result.Outcome != OrderOutcome::Gone &&
+  if (task->RunPhase == Phase::Running &&
+      result.Outcome != OrderOutcome::Gone &&
       result.Outcome != OrderOutcome::Absent)
     return;
-  note(Decision::Kind::StartRefused, id.Job, result.Task, result.Run,
-       incarnation.Id, result.Detail);
+  logDecision(Decision::Kind::StartRefused, id.Job, result.Task, result.Run,
+              incarnation.Id, result.Detail);
   handleAbsentRun(job, id, *task, result.Detail);
   checkJobEnd(job, now);
 }
--- a/src/libs/jobs/jobdesk.cpp
+++ b/src/libs/jobs/jobservice.cpp
@@ -1,4 +1,4 @@
-#include "jobdeskcall.h"
+#include "jobservicecall.h"
 
 #include "utils/eventloop.h"
 
@@ -36,21 +36,22 @@
 
 } // namespace
 
-JobDesk::JobDesk(utils::EventLoop &loop, const platform::Store &store,
-                 JobView &view, operators::ConfigFollower &config,
-                 DeskPolicy policy, StoreFailingSince storeFailingSince,
-                 Forward forward, AskLeader askLeader, OnWritten onWritten,
-                 OnDecision onDecision)
+JobService::JobService(utils::EventLoop &loop, const platform::Store &store,
+                       JobView &view, operators::ConfigFollower &config,
+                       JobServicePolicy policy,
+                       StoreFailingSince storeFailingSince, Forward forward,
+                       AskLeader askLeader, OnWritten onWritten,
+                       OnDecision onDecision)
     : Loop(loop), Calls(store), View(view), Config(config), Policy(policy),
       FailingSince(std::move(storeFailingSince)),
       ForwardToEntry(std::move(forward)), QueryLeader(std::move(askLeader)),
       NotifyLeader(std::move(onWritten)),
       ReportDecision(std::move(onDecision)) {}
 
-JobDesk::~JobDesk() { *Alive = false; }
+JobService::~JobService() { *Alive = false; }
 
-void JobDesk::finish(const CallPtr &call, CallResult result,
-                     std::string detail) {
+void JobService::finish(const CallPtr &call, CallResult result,
+                        std::string detail) {
   CallAnswer answer;
   answer.Result = result;
   answer.Detail = std::move(detail);
@@ -67,20 +68,20 @@
   deliver(call, std::move(answer));
 }
 
-void JobDesk::deliver(const CallPtr &call, CallAnswer answer) {
+void JobService::deliver(const CallPtr &call, CallAnswer answer) {
   if (call->Finished)
     return;
   call->Finished = true;
   ReportDecision({call->Name, call->JobId, call->Queue.Name,
                   call->Queue.Priority, call->Organisation,
                   call->Name == "submit" ? core::summary(call->Spec) : "",
-                  call->CheckedConfig.Version, shownAgeMs(call->ConfigAge),
+                  call->CheckedConfig.Version, loggedAgeMs(call->ConfigAge),
                   answer,
                   absl::ToInt64Milliseconds(Loop.now() - call->ReceivedAt)});
   call->Answer(std::move(answer));
 }
 
-bool JobDesk::forward(const CallPtr &call) {
+bool JobService::forward(const CallPtr &call) {
   if (call->FromOtherEntry || call->SentToOtherEntry)
     return false;
   call->SentToOtherEntry = true;
@@ -93,7 +94,7 @@
       });
 }
 
-CallRequest JobDesk::requestOf(const CallPtr &call) const {
+CallRequest JobService::requestOf(const CallPtr &call) const {
   return {call->Name, call->Access, call->JobId, call->Spec,
           Config.newestRevision()};
 }
@@ -102,8 +103,8 @@
 // was carried out is always reported. Any other answer that is based on an
 // older configuration than the newest one known here would contradict the newer
 // one.
-bool JobDesk::isAnswerUsable(const CallPtr &call,
-                             const CallAnswer &answer) const {
+bool JobService::isAnswerUsable(const CallPtr &call,
+                                const CallAnswer &answer) const {
   const bool isWrite = call->Name == "submit" || call->Name == "cancel";
   return (isWrite && answer.Result == CallResult::Ok) ||
          answer.DecidedBy.Revision >= Config.newestRevision();
@@ -111,9 +112,9 @@
 
 // Answers NotDone only if nothing can still be carried out, neither an earlier
 // write of this entry nor a call to an entry that did not answer.
-void JobDesk::onForwarded(const CallPtr &call,
-                          const std::optional<CallAnswer> &answer,
-                          bool outcomeUnknown) {
+void JobService::onForwarded(const CallPtr &call,
+                             const std::optional<CallAnswer> &answer,
+                             bool outcomeUnknown) {
   call->OutcomeUnknown |= outcomeUnknown;
   if (answer)
     Config.heardOf(answer->DecidedBy);
@@ -130,11 +131,11 @@
                 : "the store is not available here, nor any other entry");
 }
 
-bool JobDesk::isOutOfTime(const CallPtr &call) const {
+bool JobService::isOutOfTime(const CallPtr &call) const {
   return Loop.now() + Policy.AnswerMargin >= call->Access.Deadline;
 }
 
-bool JobDesk::isStoreUsable() const {
+bool JobService::isStoreUsable() const {
   return Loop.now() - FailingSince() < StoreFailureGrace;
 }
 
@@ -142,16 +143,16 @@
 // one is known, this entry may have passed on an answer that was based on it,
 // or another entry that has done so may be asking. An answer based on the older
 // one would contradict that.
-bool JobDesk::isConfigUsable() const {
+bool JobService::isConfigUsable() const {
   return Config.current() != nullptr && !Config.outdated() &&
-         Config.age(Loop.now()) <= Policy.OldestConfig;
+         Config.age(Loop.now()) <= Policy.MaxConfigAge;
 }
 
-bool JobDesk::isViewFresh() const {
-  return isStoreUsable() && Config.age(Loop.now()) < Policy.FreshView;
+bool JobService::isViewFresh() const {
+  return isStoreUsable() && Config.age(Loop.now()) < Policy.MaxViewAge;
 }
 
-int64_t JobDesk::retryAfterMs() const {
+int64_t JobService::retryAfterMs() const {
   const int64_t failingFor = absl::ToInt64Milliseconds(
       std::max(Loop.now() - FailingSince(), absl::ZeroDuration()));
   return std::clamp(failingFor, Policy.MinRetryAfterMs, Policy.MaxRetryAfterMs);
@@ -160,13 +161,14 @@
 // Checks queue and key, then calls next. A call is refused only after the store
 // has confirmed that the configuration is the newest one, as the key or queue
 // may just have been added.
-void JobDesk::authoriseNewCall(const CallPtr &call, const Continuation &next) {
+void JobService::authoriseNewCall(const CallPtr &call,
+                                  const Continuation &next) {
   call->ReceivedAt = Loop.now();
   authorise(call, false, next);
 }
 
-void JobDesk::authorise(const CallPtr &call, bool confirmed,
-                        const Continuation &next) {
+void JobService::authorise(const CallPtr &call, bool confirmed,
+                           const Continuation &next) {
   call->Config = Config.current();
   call->CheckedConfig = Config.stamp();
   call->ConfigAge = Config.age(Loop.now());
@@ -202,7 +204,7 @@
     finish(call, CallResult::BadKey, "unknown key; check the key in use");
 }
 
-void JobDesk::confirmConfig(const CallPtr &call, const Continuation &next) {
+void JobService::confirmConfig(const CallPtr &call, const Continuation &next) {
   const auto onConfirmed = [this, alive = Alive, call, next](bool ok) {
     if (!*alive)
       return;
@@ -215,12 +217,12 @@
   Config.confirm(onConfirmed, Policy.FirstTryTimeoutMs);
 }
 
-absl::Duration JobDesk::storeTimeLeft(const CallPtr &call) const {
+absl::Duration JobService::storeTimeLeft(const CallPtr &call) const {
   const absl::Duration totalTime = call->Access.Deadline - call->ReceivedAt;
   return call->ReceivedAt + totalTime * Policy.MaxStoreTimeShare - Loop.now();
 }
 
-long JobDesk::nextTryTimeoutMs(const CallPtr &call) const {
+long JobService::nextTryTimeoutMs(const CallPtr &call) const {
   const bool isFirstTry = call->Tries++ == 0;
   const auto left = absl::ToInt64Milliseconds(storeTimeLeft(call));
   return std::clamp<long>(left, Policy.MinTryTimeoutMs,
@@ -231,8 +233,8 @@
 // Handles a failed store call: tries to forward the call, else repeats the
 // store call while there is time. After that the caller learns whether the call
 // may have taken effect.
-void JobDesk::retryStoreCall(const CallPtr &call, StoreStatus status,
-                             const Continuation &next) {
+void JobService::retryStoreCall(const CallPtr &call, StoreStatus status,
+                                const Continuation &next) {
   if (status == StoreStatus::Unknown)
     call->OutcomeUnknown = true;
   if (forward(call))
@@ -258,7 +260,7 @@
   });
 }
 
-JobDesk::CallPtr JobDesk::newCall(CallRequest request, Done done) {
+JobService::CallPtr JobService::newCall(CallRequest request, Done done) {
   auto call = std::make_shared<Call>();
   call->Name = std::move(request.Name);
   call->Access = std::move(request.Access);
@@ -268,7 +270,7 @@
   return call;
 }
 
-void JobDesk::serve(const CallPtr &call) {
+void JobService::serve(const CallPtr &call) {
   if (call->Name == "submit")
     authoriseNewCall(call, [this](const CallPtr &c) { validateAndStore(c); });
   else if (call->Name == "state")
@@ -279,34 +281,34 @@
     authoriseNewCall(call, [this](const CallPtr &c) { answerQueueLength(c); });
 }
 
-void JobDesk::serveForwarded(CallRequest request, Done done) {
+void JobService::serveForwarded(CallRequest request, Done done) {
   Config.heardOf({request.OldestRevision, 0});
   const CallPtr call = newCall(std::move(request), std::move(done));
   call->FromOtherEntry = true;
   serve(call);
 }
 
-void JobDesk::submit(CallerAccess access, core::JobSpec spec, Done done) {
+void JobService::submit(CallerAccess access, core::JobSpec spec, Done done) {
   const std::string id = spec.Id;
   serve(newCall({"submit", std::move(access), id, std::move(spec)},
                 std::move(done)));
 }
 
-void JobDesk::state(CallerAccess access, std::string jobId, Done done) {
+void JobService::state(CallerAccess access, std::string jobId, Done done) {
   serve(newCall({"state", std::move(access), std::move(jobId), {}},
                 std::move(done)));
 }
 
-void JobDesk::cancel(CallerAccess access, std::string jobId, Done done) {
+void JobService::cancel(CallerAccess access, std::string jobId, Done done) {
   serve(newCall({"cancel", std::move(access), std::move(jobId), {}},
                 std::move(done)));
 }
 
-void JobDesk::queueLength(CallerAccess access, Done done) {
+void JobService::queueLength(CallerAccess access, Done done) {
   serve(newCall({"queue", std::move(access), "", {}}, std::move(done)));
 }
 
-void JobDesk::validateAndStore(const CallPtr &call) {
+void JobService::validateAndStore(const CallPtr &call) {
   const std::string problem = core::validate(call->Spec);
   if (!problem.empty()) {
     finish(call, CallResult::Invalid, problem);
@@ -323,7 +325,7 @@
 
 // Writes the job on condition that its key does not exist and that the
 // configuration the call was checked against is still the newest.
-void JobDesk::storeJob(const CallPtr &call) {
+void JobService::storeJob(const CallPtr &call) {
   if (call->Config != Config.current()) {
     authorise(call, false, [this](const CallPtr &c) { storeJob(c); });
     return;
@@ -360,9 +362,9 @@
   });
 }
 
-void JobDesk::onStoreJobReply(const CallPtr &call,
-                              const StoreReply<StoreTxnReply> &reply,
-                              absl::Time sentAt, const std::string &value) {
+void JobService::onStoreJobReply(const CallPtr &call,
+                                 const StoreReply<StoreTxnReply> &reply,
+                                 absl::Time sentAt, const std::string &value) {
   const std::string key = specKey(call->JobId);
   if (reply.ok()) {
     const KeyValue item{key, value, reply.Value.Revision, reply.Value.Revision,
@@ -400,20 +402,20 @@
   authorise(call, true, [this](const CallPtr &c) { storeJob(c); });
 }
 
-bool JobDesk::isAccessAllowed(const CallPtr &call,
-                              const JobRecord &record) const {
+bool JobService::isAccessAllowed(const CallPtr &call,
+                                 const JobRecord &record) const {
   return record.Spec.Queue == call->Queue.Name &&
          (call->Queue.Public || record.Spec.Organisation == call->Organisation);
 }
 
-void JobDesk::answerQueueLength(const CallPtr &call) {
-  if (View.complete())
+void JobService::answerQueueLength(const CallPtr &call) {
+  if (View.isComplete())
     finish(call, CallResult::Ok);
   else
     finish(call, CallResult::NotDone, "this entry has not read the jobs yet");
 }
 
-void JobDesk::findJobToCancel(const CallPtr &call) {
+void JobService::findJobToCancel(const CallPtr &call) {
   if (const StoredJob *job = View.find(call->JobId)) {
     if (!isAccessAllowed(call, job->Record))
       finish(call, CallResult::UnknownJob, "no such job");
@@ -433,8 +435,8 @@
       });
 }
 
-void JobDesk::writeCancel(const CallPtr &call, JobRecord record,
-                          int64_t revision) {
+void JobService::writeCancel(const CallPtr &call, JobRecord record,
+                             int64_t revision) {
   record.Cancelled = true;
   const std::string key = specKey(call->JobId);
   const std::string value = encode(record);
--- a/src/libs/jobs/jobdesk.h
+++ b/src/libs/jobs/jobservice.h
@@ -21,10 +21,10 @@
 namespace oriolebay::jobs {
 
 /// Time limits of calls, and how old the data that answers them may be.
-struct DeskPolicy {
+struct JobServicePolicy {
   /// Maximum age of the configuration view that calls are checked against. Keys
   /// may have been revoked since.
-  absl::Duration OldestConfig = absl::Milliseconds(2500);
+  absl::Duration MaxConfigAge = absl::Milliseconds(2500);
   /// Time reserved for sending the answer to the caller before its deadline.
   absl::Duration AnswerMargin = absl::Milliseconds(150);
   /// Delay before a failed store call is repeated.
@@ -39,7 +39,7 @@
   /// which the store's watches are relied on as well. Without this check an
   /// entry that the store had stopped serving showed jobs as running long after
   /// their end.
-  absl::Duration FreshView = absl::Milliseconds(800);
+  absl::Duration MaxViewAge = absl::Milliseconds(800);
   /// Maximum share of the caller's time that a call spends on a store that does
   /// not answer. The rest is left to the caller for asking another entry.
   double MaxStoreTimeShare = 0.4;
@@ -80,7 +80,7 @@
 /// Serves callers at one entry: stores submitted jobs, cancels jobs, and
 /// reports their state and the lengths of queues. Confirms only what the store
 /// has recorded. Must be used on one event loop.
-class JobDesk {
+class JobService {
 public:
   using Done = std::function<void(CallAnswer)>;
   /// Notifies the leader of a job's key that was written.
@@ -97,13 +97,14 @@
   using AskLeader =
       std::function<bool(const CallRequest &, const OnLeaderAnswer &)>;
 
-  JobDesk(utils::EventLoop &loop, const platform::Store &store, JobView &view,
-          operators::ConfigFollower &config, DeskPolicy policy,
-          StoreFailingSince storeFailingSince, Forward forward,
-          AskLeader askLeader, OnWritten onWritten, OnDecision onDecision);
-  ~JobDesk();
-  JobDesk(const JobDesk &) = delete;
-  JobDesk &operator=(const JobDesk &) = delete;
+  JobService(utils::EventLoop &loop, const platform::Store &store,
+             JobView &view, operators::ConfigFollower &config,
+             JobServicePolicy policy, StoreFailingSince storeFailingSince,
+             Forward forward, AskLeader askLeader, OnWritten onWritten,
+             OnDecision onDecision);
+  ~JobService();
+  JobService(const JobService &) = delete;
+  JobService &operator=(const JobService &) = delete;
 
   /// Stores spec under its id, with the organisation and queue that access
   /// identifies. Succeeds also if the organisation submitted that id before.
@@ -114,11 +115,11 @@
   /// again.
   void serveForwarded(CallRequest request, Done done);
   /// The leading scheduler has ended the job, and the end is being recorded.
-  void expectEnd(const std::string &jobId);
+  void onEndPending(const std::string &jobId);
   /// The end of the job is recorded.
   void onEndRecorded(const std::string &jobId);
   /// The job's record was removed from the store.
-  void forget(const std::string &jobId) { ReportedEnds.erase(jobId); }
+  void onRecordRemoved(const std::string &jobId) { ReportedEnds.erase(jobId); }
   /// Counts the queue's jobs that have not started.
   void queueLength(CallerAccess access, Done done);
 
@@ -156,7 +157,7 @@
   /// Calls to the store have not been failing for long.
   bool isStoreUsable() const;
   bool isConfigUsable() const;
-  /// The store answers, and its watches can be relied on; see FreshView.
+  /// The store answers, and its watches can be relied on; see MaxViewAge.
   bool isViewFresh() const;
   int64_t retryAfterMs() const;
   void retryStoreCall(const CallPtr &call, platform::StoreStatus status,
@@ -198,7 +199,7 @@
   const platform::Store &Calls;
   JobView &View;
   operators::ConfigFollower &Config;
-  const DeskPolicy Policy;
+  const JobServicePolicy Policy;
   const StoreFailingSince FailingSince;
   const Forward ForwardToEntry;
   const AskLeader QueryLeader;
--- a/src/libs/jobs/jobdesk_state.cpp
+++ b/src/libs/jobs/jobservice_state.cpp
@@ -1,7 +1,7 @@
 // Answers state calls: from the view, from the leader, which is the first to
 // know that a job has ended, or from the store.
 
-#include "jobdeskcall.h"
+#include "jobservicecall.h"
 
 #include "utils/eventloop.h"
 
@@ -11,7 +11,7 @@
 using platform::StoreReply;
 using platform::StoreStatus;
 
-void JobDesk::showState(const CallPtr &call) {
+void JobService::showState(const CallPtr &call) {
   const StoredJob *job = View.find(call->JobId);
   const bool hasEnded = job != nullptr && isFinal(visibleState(*job));
   if (!hasEnded && !isViewFresh() && forward(call))
@@ -26,8 +26,8 @@
       [this](const CallPtr &c) { fetchProgress(c); });
 }
 
-void JobDesk::fetchRecord(const CallPtr &call, const Continuation &retry,
-                          const Continuation &next) {
+void JobService::fetchRecord(const CallPtr &call, const Continuation &retry,
+                             const Continuation &next) {
   Calls.Get(specKey(call->JobId), [this, alive = Alive, call, retry,
                                    next](const StoreReply<KeyValue> &reply) {
     if (!*alive)
@@ -45,7 +45,7 @@
   });
 }
 
-void JobDesk::fetchProgress(const CallPtr &call) {
+void JobService::fetchProgress(const CallPtr &call) {
   Calls.Get(progressKey(call->JobId),
             [this, alive = Alive, call](const StoreReply<KeyValue> &reply) {
               if (!*alive)
@@ -65,7 +65,7 @@
             });
 }
 
-void JobDesk::answerState(const CallPtr &call, const StoredJob &job) {
+void JobService::answerState(const CallPtr &call, const StoredJob &job) {
   if (!isAccessAllowed(call, job.Record)) {
     finish(call, CallResult::UnknownJob, "no such job");
     return;
@@ -84,7 +84,7 @@
 
 // Asks the leader, which is the first to know that a job has ended, and knows
 // it while the end is still being recorded. Returns false if it was not asked.
-bool JobDesk::askLeader(const CallPtr &call) {
+bool JobService::askLeader(const CallPtr &call) {
   if (call->FromOtherEntry)
     return false;
   return QueryLeader(
@@ -95,8 +95,8 @@
       });
 }
 
-void JobDesk::onLeaderAnswer(const CallPtr &call,
-                             const std::optional<CallAnswer> &answer) {
+void JobService::onLeaderAnswer(const CallPtr &call,
+                                const std::optional<CallAnswer> &answer) {
   if (answer)
     Config.heardOf(answer->DecidedBy);
   const StoredJob *job = View.find(call->JobId);
@@ -112,12 +112,12 @@
 
 // The state to report for the job. Once a caller has seen a final state it is
 // not replaced by an earlier one.
-JobState JobDesk::visibleState(const StoredJob &job) const {
+JobState JobService::visibleState(const StoredJob &job) const {
   auto it = ReportedEnds.find(job.Record.Spec.Id);
   return it == ReportedEnds.end() ? job.visibleState() : it->second;
 }
 
-CallAnswer JobDesk::withReportedEnd(const CallPtr &call, CallAnswer answer) {
+CallAnswer JobService::withReportedEnd(const CallPtr &call, CallAnswer answer) {
   if (call->Name != "state" || answer.Result != CallResult::Ok)
     return answer;
   const StoredJob *job = View.find(call->JobId);
@@ -134,8 +134,8 @@
 }
 
 // Queues the call until the job's end is recorded, for EndRecordWaitLimit after
-// expectEnd() at most. Returns false if no end of the job is being recorded.
-bool JobDesk::waitForEndRecord(const CallPtr &call) {
+// onEndPending() at most. Returns false if no end of the job is being recorded.
+bool JobService::waitForEndRecord(const CallPtr &call) {
   const StoredJob *job = View.find(call->JobId);
   auto it = CallsAwaitingEnd.find(call->JobId);
   if (it == CallsAwaitingEnd.end() || job == nullptr ||
@@ -145,7 +145,7 @@
   return true;
 }
 
-void JobDesk::expectEnd(const std::string &jobId) {
+void JobService::onEndPending(const std::string &jobId) {
   const StoredJob *job = View.find(jobId);
   if (job != nullptr && isFinal(visibleState(*job)))
     return;
@@ -157,7 +157,7 @@
   });
 }
 
-void JobDesk::onEndRecorded(const std::string &jobId) {
+void JobService::onEndRecorded(const std::string &jobId) {
   const StoredJob *job = View.find(jobId);
   if (job == nullptr || isFinal(job->visibleState()))
     ReportedEnds.erase(jobId);
--- a/src/libs/jobs/jobdeskcall.h
+++ b/src/libs/jobs/jobservicecall.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "jobdesk.h"
+#include "jobservice.h"
 
 namespace oriolebay::jobs {
 
 /// A caller's call that is being served.
-struct JobDesk::Call {
+struct JobService::Call {
   std::string Name;
   CallerAccess Access;
   core::JobSpec Spec;
--- a/src/libs/jobs/jobview.h
+++ b/src/libs/jobs/jobview.h
@@ -20,7 +20,7 @@
 
   /// The state to report to callers.
   JobState visibleState() const {
-    return shownState(Record, ProgressRevision > 0 ? &Progress : nullptr);
+    return visibleStateOf(Record, ProgressRevision > 0 ? &Progress : nullptr);
   }
 };
 
@@ -57,7 +57,7 @@
                      int64_t revision);
 
   /// All jobs have been read at least once.
-  bool complete() const { return Complete; }
+  bool isComplete() const { return Complete; }
   const StoredJob *find(const std::string &jobId) const;
   const std::map<std::string, StoredJob> &jobs() const { return Jobs; }
   /// Number of the queue's jobs that have not started, repeating jobs excluded.
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -51,7 +51,7 @@
     return 0;
   const double need =
       Scheduler.Policy.Headroom *
-      Scheduler.Urgent.expectedDemand(Scheduler.Policy.StopTakes, Now);
+      Scheduler.UrgentDemand.expectedDemand(Scheduler.Policy.StopDuration, Now);
   const auto workers =
       static_cast<int>(need / static_cast<double>(maxAccelerators));
   return std::min(workers, static_cast<int>(Candidates.size()) /
@@ -91,7 +91,7 @@
   std::vector<Job *> urgent;
   for (auto &[id, job] : Scheduler.Jobs) {
     job.Rank = job.Record.Priority + 1;
-    if (!job.over() && job.Record.Priority == 0)
+    if (!job.hasEnded() && job.Record.Priority == 0)
       urgent.push_back(&job);
   }
   std::sort(urgent.begin(), urgent.end(), [](const Job *a, const Job *b) {
@@ -114,14 +114,14 @@
 
 void Planner::collectUnits() {
   for (auto &[id, job] : Scheduler.Jobs) {
-    if (job.over())
+    if (job.hasEnded())
       continue;
     const int due = Scheduler.dueOccurrences(job);
     for (int number = 0; number < due; ++number) {
       std::vector<JobScheduler::Step> &steps =
-          Scheduler.occurrence(job, number);
+          Scheduler.ensureOccurrence(job, number);
       for (size_t s = 0; s < steps.size(); ++s) {
-        if (!JobScheduler::stepReady(job, steps, s))
+        if (!JobScheduler::isStepReady(job, steps, s))
           continue;
         PlacementUnit unit{&job, number, static_cast<int>(s), {}, job.Rank, {}};
         collectTasks(unit, steps[s]);
@@ -152,7 +152,7 @@
   for (size_t i = 0; i < step.size(); ++i) {
     const Task &task = step[i];
     const auto index = static_cast<int>(i);
-    if (task.Progress.Done || task.mayRun()) {
+    if (task.Progress.Done || task.isAssigned()) {
       if (gang)
         return;
     } else if (gang || (task.FailedOn.empty() && !task.isSuspect())) {
@@ -382,9 +382,9 @@
   }
   const std::string saved = furthest->Progress.Saved;
   for (size_t n = 0; n < placement.size(); ++n) {
-    Scheduler.start(*unit.Owner, unit.taskId(unit.Tasks[n]),
-                    Candidates[placement[n]].View->State.Life, saved, run + 1,
-                    unit.Rank, Now);
+    Scheduler.assignRun(*unit.Owner, unit.taskId(unit.Tasks[n]),
+                        Candidates[placement[n]].View->State.Life, saved,
+                        run + 1, unit.Rank, Now);
     allocate(placement[n], unit.spec().room());
     markRecentStart(placement[n], unit);
   }
@@ -393,9 +393,10 @@
 
 void Planner::startTask(PlacementUnit &unit, int index, size_t candidateIndex) {
   const Task &task = *Scheduler.findTask(unit.taskId(index));
-  Scheduler.start(*unit.Owner, unit.taskId(index),
-                  Candidates[candidateIndex].View->State.Life,
-                  task.Progress.Saved, task.Progress.Run + 1, unit.Rank, Now);
+  Scheduler.assignRun(*unit.Owner, unit.taskId(index),
+                      Candidates[candidateIndex].View->State.Life,
+                      task.Progress.Saved, task.Progress.Run + 1, unit.Rank,
+                      Now);
   allocate(candidateIndex, unit.spec().room());
   markRecentStart(candidateIndex, unit);
   if (unit.spec().MaxPerWorker > 0)
@@ -452,10 +453,10 @@
 void Planner::handleBlockedUnit(PlacementUnit &unit) {
   // The unit may become startable without an event, for example when the
   // quarantine of a worker ends.
-  Scheduler.Waits = true;
+  Scheduler.RetryOnTick = true;
   if (!unit.Owner->WaitLogged) {
     unit.Owner->WaitLogged = true;
-    Scheduler.note(
+    Scheduler.logDecision(
         Decision::Kind::Waiting, unit.Owner->Record.Spec.Id,
         core::taskName(unit.taskId(unit.Tasks.front())), 0, "",
         unit.spec().Gang ? "no capacity for the whole gang" : "no capacity",
--- a/src/libs/jobs/planner_capacity.cpp
+++ b/src/libs/jobs/planner_capacity.cpp
@@ -44,10 +44,10 @@
 // checkpoint when it is stopped, at most the time to restore the checkpoint.
 double Planner::workLostByStop(const core::StepSpec &spec,
                                const Task &task) const {
-  if (task.StopAsked || task.Progress.Done ||
-      task.Began == absl::InfinitePast())
+  if (task.StopRequested || task.Progress.Done ||
+      task.StartedAt == absl::InfinitePast())
     return 0;
-  double lost = absl::ToDoubleSeconds(Now - task.Began);
+  double lost = absl::ToDoubleSeconds(Now - task.StartedAt);
   if (spec.Checkpoints)
     lost = std::min(
         lost, absl::ToDoubleSeconds(Scheduler.Policy.Progress.RestoreTime));
@@ -64,18 +64,18 @@
   core::TaskId id{job.Record.Spec.Id, occurrence, step, 0};
   for (size_t i = 0; i < tasks.size(); ++i) {
     const Task &t = tasks[i];
-    if (!t.mayRun())
+    if (!t.isAssigned())
       continue;
     id.Index = static_cast<int>(i);
     const double lostWork = workLostByStop(spec, t);
     const absl::Duration timeLeft =
-        t.StopAsked ? Scheduler.Policy.StopTakes
-                    : RunMonitor(Scheduler, Now).remainingTime(job, id, t);
+        t.StopRequested ? Scheduler.Policy.StopDuration
+                        : RunMonitor(Scheduler, Now).remainingTime(job, id, t);
     auto candidate = CandidateOf.find(t.Progress.Worker);
     if (spec.Gang) {
       gang.LostWork += lostWork;
       gang.TimeLeft = std::max(gang.TimeLeft, timeLeft);
-      gang.Stopping = gang.Stopping && t.StopAsked;
+      gang.Stopping = gang.Stopping && t.StopRequested;
       if (candidate != CandidateOf.end())
         freedByGang[candidate->second] += spec.room();
     } else if (candidate != CandidateOf.end()) {
@@ -86,7 +86,7 @@
                               job.Rank,
                               lostWork,
                               timeLeft,
-                              t.StopAsked,
+                              t.StopRequested,
                               {{candidate->second, spec.room()}}});
     }
   }
@@ -363,7 +363,7 @@
   int64_t followUpTasks = 0;
   const JobScheduler::Step &step = unit.step();
   for (size_t i = 0; i < step.size(); ++i) {
-    if (!step[i].mayRun())
+    if (!step[i].isAssigned())
       continue;
     followUpTasks +=
         rounds(timeLeft - RunMonitor(Scheduler, Now)
@@ -388,8 +388,8 @@
   const double ownWork = static_cast<double>(unit.Tasks.size()) *
                          coreEquivalents(spec.PerTask) *
                          absl::ToDoubleSeconds(taskDuration);
-  return Scheduler.Policy.WasteForAny +
-         Scheduler.Policy.WasteForOwnWork * ownWork;
+  return Scheduler.Policy.MaxLostWorkBase +
+         Scheduler.Policy.MaxLostWorkShare * ownWork;
 }
 
 // Whether unit is within a guarantee and would get its capacity later than
@@ -450,7 +450,7 @@
       reserve(unit, *waitPlan);
       return true;
     }
-    if (!Scheduler.fleetKnown(Now) && !isGuaranteeAtRisk(unit, waitPlan)) {
+    if (!Scheduler.isFleetKnown(Now) && !isGuaranteeAtRisk(unit, waitPlan)) {
       logCapacityPlan(unit, "waits until all workers have reported", nullptr);
       return false;
     }
@@ -475,11 +475,11 @@
 void Planner::logCapacityPlan(const PlacementUnit &unit, const char *outcome,
                               const CapacityPlan *plan) {
   const char *&logged =
-      unit.Owner->RoomPlanLogged[{unit.Occurrence, unit.Step}];
+      unit.Owner->LoggedCapacityPlans[{unit.Occurrence, unit.Step}];
   if (logged == outcome)
     return;
   logged = outcome;
-  std::vector<Input> inputs = {
+  std::vector<DecisionInput> inputs = {
       {"rank", unit.Rank},
       {"tasks", static_cast<int64_t>(unit.Tasks.size())},
       {"needed", unit.RequiredConcurrency},
@@ -490,9 +490,10 @@
     inputs.push_back({"waste_core_s", static_cast<int64_t>(plan->LostWork)});
     inputs.push_back({"ends", static_cast<int64_t>(plan->EndingUnits.size())});
   }
-  Scheduler.note(Decision::Kind::RoomPlanned, unit.Owner->Record.Spec.Id,
-                 core::taskName(unit.taskId(unit.Tasks.front())), 0, "",
-                 outcome, std::move(inputs));
+  Scheduler.logDecision(Decision::Kind::CapacityPlanned,
+                        unit.Owner->Record.Spec.Id,
+                        core::taskName(unit.taskId(unit.Tasks.front())), 0, "",
+                        outcome, std::move(inputs));
 }
 
 void Planner::requestStops(const PlacementUnit &unit,
@@ -517,9 +518,9 @@
 
 // Maximum number of units that reserve capacity while they wait.
 int Planner::maxReservations() const {
-  return std::max(Scheduler.Policy.LeastKept,
+  return std::max(Scheduler.Policy.MinReservedGangs,
                   static_cast<int>(Candidates.size()) /
-                      Scheduler.Policy.WorkersPerKept);
+                      Scheduler.Policy.WorkersPerReservedGang);
 }
 
 // Reserves the capacity that becomes free first for a large unit, so that
--- a/src/libs/jobs/planner_suspects.cpp
+++ b/src/libs/jobs/planner_suspects.cpp
@@ -26,7 +26,7 @@
     return;
   for (auto &[id, job] : Scheduler.Jobs)
     Scheduler.forEachTask(job, [this](const core::TaskId &, const Task &task) {
-      if (!task.mayRun() || task.outlived())
+      if (!task.isAssigned() || task.hasOutlivedCrashWindow())
         return;
       auto candidate = CandidateOf.find(task.Progress.Worker);
       if (candidate == CandidateOf.end())
@@ -53,8 +53,9 @@
   if (!unit.HasSuspect)
     return 0;
   return (isEmpty(candidate) ? 0 : RiskToOtherWork) +
-         (Scheduler.crashedLately(candidate.View->Agent, Now) ? RiskOfHostCrash
-                                                              : 0);
+         (Scheduler.hasCrashedRecently(candidate.View->Agent, Now)
+              ? RiskOfHostCrash
+              : 0);
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/runmonitor.cpp
+++ b/src/libs/jobs/runmonitor.cpp
@@ -25,7 +25,7 @@
 
 void RunMonitor::checkRuns() {
   for (auto &[jobId, job] : Scheduler.Jobs) {
-    if (job.over())
+    if (job.hasEnded())
       continue;
     for (auto &[number, steps] : job.Occurrences)
       for (size_t s = 0; s < steps.size(); ++s)
@@ -40,7 +40,7 @@
   for (size_t i = 0; i < step.size(); ++i) {
     id.Index = static_cast<int>(i);
     Task &task = step[i];
-    if (task.What == JobScheduler::Phase::Running && !task.StopAsked &&
+    if (task.RunPhase == JobScheduler::Phase::Running && !task.StopRequested &&
         !task.Progress.Done)
       checkRun(job, id, task, peers);
   }
@@ -72,7 +72,7 @@
   // that was about to end was stopped for an urgent job, because its remaining
   // time did not decrease between two reports.
   const absl::Duration sinceReport =
-      std::min(Now - task.PercentAt, MaxExtrapolation);
+      std::min(Now - task.PercentReportedAt, MaxExtrapolation);
   return std::max(total * (100 - task.Percent) / 100 - sinceReport,
                   MinRemaining);
 }
@@ -82,7 +82,7 @@
 // whose progress is behind that of another one is the cause.
 bool RunMonitor::isBehindGang(const Step &step, const Task &task) {
   return std::any_of(step.begin(), step.end(), [&](const Task &other) {
-    return other.mayRun() && other.Percent > task.Percent + 1;
+    return other.isAssigned() && other.Percent > task.Percent + 1;
   });
 }
 
@@ -96,7 +96,7 @@
   const Step &step = job.stepOf(id);
   const bool gang = job.specOf(id).Gang && step.size() > 1;
   return !gang || isBehindGang(step, task) ||
-         Now - task.Began >
+         Now - task.StartedAt >
              Scheduler.Policy.GangWait + Scheduler.Policy.Progress.StalledAfter;
 }
 
@@ -112,9 +112,9 @@
     const Task &task = step[i];
     id.Index = static_cast<int>(i);
     absl::Duration duration = absl::InfiniteDuration();
-    if (task.Took > absl::ZeroDuration())
-      duration = task.Took;
-    else if (task.What == JobScheduler::Phase::Running)
+    if (task.RunDuration > absl::ZeroDuration())
+      duration = task.RunDuration;
+    else if (task.RunPhase == JobScheduler::Phase::Running)
       if (const auto bounds = Scheduler.Progress.durationBounds(
               {core::taskName(id), task.Progress.Run}))
         duration = bounds->AtMost;
@@ -148,11 +148,11 @@
 // the task sooner.
 bool RunMonitor::isRunTooSlow(const Job &job, const TaskId &id,
                               const Task &task, PeerTimes &peers) const {
-  if (task.Moves >= Scheduler.Policy.MostMoves)
+  if (task.Moves >= Scheduler.Policy.MaxMoves)
     return false;
   const auto bounds = Scheduler.Progress.durationBounds(
       {core::taskName(id), task.Progress.Run});
-  if (!bounds || Scheduler.isAway(job, id, task))
+  if (!bounds || Scheduler.isRemote(job, id, task))
     return false;
   const absl::Duration duration = bounds->AtLeast;
   const core::StepSpec &spec = job.specOf(id);
@@ -189,7 +189,8 @@
   if (worker == nullptr || worker->EarliestShutdown == absl::InfiniteFuture())
     return false;
   const absl::Duration timeLeft = worker->EarliestShutdown - Now;
-  const absl::Duration stopTime = Scheduler.Policy.StopTakes + StopDeliveryTime;
+  const absl::Duration stopTime =
+      Scheduler.Policy.StopDuration + StopDeliveryTime;
   if (remainingTime(job, id, task) < timeLeft - StopDeliveryTime)
     return false;
   const core::StepSpec &spec = job.specOf(id);
@@ -206,25 +207,26 @@
 
 void RunMonitor::evacuate(Job &job, const TaskId &id, Task &task) {
   const WorkerView *worker = Scheduler.Workers.find(task.Progress.Worker);
-  Scheduler.note(
+  Scheduler.logDecision(
       Decision::Kind::RunEvacuated, id.Job, core::taskName(id),
       task.Progress.Run, task.Progress.Worker.Id, "",
       {{"percent", task.Percent},
        {"worker_leaves_in_ms",
         absl::ToInt64Milliseconds(worker->EarliestShutdown - Now)},
-       {"worker_heard_ms_ago", Scheduler.heardMsAgo(worker->State.Life, Now)}});
+       {"worker_heard_ms_ago",
+        Scheduler.lastReportAgeMs(worker->State.Life, Now)}});
   requestRestart(job, id, task, "would not be done before its worker leaves");
 }
 
 void RunMonitor::quarantineAndRestart(Job &job, const TaskId &id, Task &task,
                                       const std::string &why) {
   const std::string name = core::taskName(id);
-  Scheduler.note(Decision::Kind::RunStandsStill, id.Job, name,
-                 task.Progress.Run, task.Progress.Worker.Id,
-                 absl::StrCat(why, " at ", task.Percent, "%"));
+  Scheduler.logDecision(Decision::Kind::RunStalledOrSlow, id.Job, name,
+                        task.Progress.Run, task.Progress.Worker.Id,
+                        absl::StrCat(why, " at ", task.Percent, "%"));
   if (Scheduler.Workers.quarantine(task.Progress.Worker, Now))
-    Scheduler.note(Decision::Kind::WorkerKeptOut, id.Job, name,
-                   task.Progress.Run, task.Progress.Worker.Id, why);
+    Scheduler.logDecision(Decision::Kind::WorkerQuarantined, id.Job, name,
+                          task.Progress.Run, task.Progress.Worker.Id, why);
   requestRestart(job, id, task, why);
 }
 
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -150,7 +150,7 @@
                            absl::Milliseconds(s.StoreMinLeaseMs));
   t.ConfirmEvery = absl::Milliseconds(s.Bounds.ConfigApplyMs) * 3 / 10;
   t.FreshConfig = t.ConfirmEvery * 4 / 3;
-  t.OldestConfig = absl::Milliseconds(s.Bounds.RevokeMs) / 2;
+  t.MaxConfigAge = absl::Milliseconds(s.Bounds.RevokeMs) / 2;
   t.NotReadyAfter = absl::Milliseconds(s.Bounds.ConfigApplyMs);
   t.ReclaimAfter =
       std::max(absl::Milliseconds(s.Bounds.ReclaimMs - s.Bounds.StopGraceMs) -
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -101,7 +101,7 @@
   absl::Duration FreshConfig;
   /// Maximum age of a view of the configuration. Calls are not served with
   /// older views.
-  absl::Duration OldestConfig;
+  absl::Duration MaxConfigAge;
   /// Maximum age of the view with which a process reports itself as ready.
   absl::Duration NotReadyAfter;
   /// Time after which capacity is freed for work within its organisation's
--- a/tests/auto/cluster/memorycluster.cpp
+++ b/tests/auto/cluster/memorycluster.cpp
@@ -224,9 +224,9 @@
       [&]() -> utils::Result<std::optional<jobs::JobState>> {
         BOOST_LEAF_AUTO(record, jobs::decodeRecord(spec->second.Value));
         if (progress == Store.items().end())
-          return std::make_optional(jobs::shownState(record, nullptr));
+          return std::make_optional(jobs::visibleStateOf(record, nullptr));
         BOOST_LEAF_AUTO(read, jobs::decodeProgress(progress->second.Value));
-        return std::make_optional(jobs::shownState(record, &read));
+        return std::make_optional(jobs::visibleStateOf(record, &read));
       },
       [](const utils::Error &) { return std::optional<jobs::JobState>(); });
 }
@@ -272,7 +272,7 @@
     return call;
   jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + spec.Queue + "/" + spec.Id;
-  Entries[n].Process->desk().submit(
+  Entries[n].Process->jobService().submit(
       a, std::move(spec), [this, call](const jobs::CallAnswer &answer) {
         call->Answer = answer;
         if (answer.Result == jobs::CallResult::Ok)
@@ -288,7 +288,7 @@
     return call;
   jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + Specs.at(job).Queue + "/" + job;
-  Entries[n].Process->desk().cancel(
+  Entries[n].Process->jobService().cancel(
       a, job,
       [call](const jobs::CallAnswer &answer) { call->Answer = answer; });
   return call;
@@ -301,7 +301,7 @@
     return call;
   jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + Specs.at(job).Queue + "/" + job;
-  Entries[n].Process->desk().state(
+  Entries[n].Process->jobService().state(
       a, job,
       [call](const jobs::CallAnswer &answer) { call->Answer = answer; });
   return call;
@@ -315,7 +315,7 @@
     return call;
   jobs::CallerAccess a = accessFor(key);
   a.Path = "/" + queue + "/";
-  Entries[n].Process->desk().queueLength(
+  Entries[n].Process->jobService().queueLength(
       a, [call](const jobs::CallAnswer &answer) { call->Answer = answer; });
   return call;
 }
--- a/tests/auto/jobs/simsite.cpp
+++ b/tests/auto/jobs/simsite.cpp
@@ -384,7 +384,7 @@
       it->second.Stopping = true;
       it->second.StopAt =
           Now +
-          (StopDurationOf ? StopDurationOf(taskIdOf(stop.Task)) : StopTakes);
+          (StopDurationOf ? StopDurationOf(taskIdOf(stop.Task)) : StopDuration);
     }
   }
   for (const endpoints::StartOrder &start : orders.Starts) {
@@ -431,7 +431,7 @@
     for (ProgressWrite &write : Scheduler->takeWrites()) {
       StoredJob &job = Jobs.at(write.JobId);
       if (StoreDown) {
-        Scheduler->onNotWritten(write.JobId);
+        Scheduler->onWriteFailed(write.JobId);
         continue;
       }
       if (job.RecordRevision != write.RecordRevision ||
@@ -444,7 +444,7 @@
                 Scheduler->onWritten(write.JobId, read.Version,
                                      job.ProgressRevision, Now);
               }
-              Scheduler->onNotWritten(write.JobId);
+              Scheduler->onWriteFailed(write.JobId);
               return true;
             },
             [&](const utils::Error &e) {
@@ -456,7 +456,7 @@
       job.Progress = write.Value;
       job.ProgressRevision = ++Revision;
       if (StoreLosesAnswers)
-        Scheduler->onNotWritten(write.JobId);
+        Scheduler->onWriteFailed(write.JobId);
       else
         Scheduler->onWritten(write.JobId, write.Progress.Version,
                              job.ProgressRevision, Now);
@@ -526,11 +526,11 @@
 JobState SimSite::state(const std::string &jobId) const {
   const StoredJob &job = Jobs.at(jobId);
   if (job.ProgressRevision == 0)
-    return shownState(job.Record, nullptr);
+    return visibleStateOf(job.Record, nullptr);
   return utils::handle<JobState>(
       [&]() -> utils::Result<JobState> {
         BOOST_LEAF_AUTO(progress, decodeProgress(job.Progress));
-        return shownState(job.Record, &progress);
+        return visibleStateOf(job.Record, &progress);
       },
       [](const utils::Error &) { return JobState::Queued; });
 }
--- a/tests/auto/jobs/simsite.h
+++ b/tests/auto/jobs/simsite.h
@@ -134,7 +134,7 @@
   /// Interval at which the scheduler's timers are served.
   int TickEveryMs = StepMs;
   /// Time from the order to stop a run until its end.
-  absl::Duration StopTakes = absl::Milliseconds(200);
+  absl::Duration StopDuration = absl::Milliseconds(200);
   /// The same by task, if it differs between tasks.
   std::function<absl::Duration(const core::TaskId &)> StopDurationOf;
   static constexpr int RestoreMs = 600;
--- a/tests/auto/jobs/tst_jobscheduler.cpp
+++ b/tests/auto/jobs/tst_jobscheduler.cpp
@@ -218,9 +218,9 @@
   addRacks(site, 10);
   site.submit(jobOf("all", step(30, {32000, 1000, 8}, 60000)));
   site.runFor(absl::Seconds(2));
-  const int64_t before = site.scheduler().passes();
+  const int64_t before = site.scheduler().passCount();
   site.runFor(absl::Seconds(5));
-  EXPECT_EQ(site.scheduler().passes(), before);
+  EXPECT_EQ(site.scheduler().passCount(), before);
 }
 
 // The same with a job that waits. It may become startable through time alone,
@@ -240,13 +240,13 @@
   report.AgentAddress = worker.Agent;
   report.Sequence = worker.Sequence + 1;
   report.Reachable = true;
-  const int64_t before = scheduler.passes();
+  const int64_t before = scheduler.passCount();
   scheduler.onReport(report, site.now());
   scheduler.decide(site.now());
-  EXPECT_EQ(scheduler.passes(), before);
+  EXPECT_EQ(scheduler.passCount(), before);
   scheduler.tick(site.now());
   scheduler.decide(site.now());
-  EXPECT_EQ(scheduler.passes(), before + 1);
+  EXPECT_EQ(scheduler.passCount(), before + 1);
 }
 
 core::SiteConfig configWithGuarantee(int64_t accelerators) {
@@ -286,9 +286,9 @@
 // the next gang came.
 TEST(JobScheduler, KeepsWorkersEmptyForRecurringUrgentJobs) {
   SchedulerPolicy policy;
-  policy.StopTakes = absl::Milliseconds(900);
+  policy.StopDuration = absl::Milliseconds(900);
   SimSite site(policy);
-  site.StopTakes = policy.StopTakes;
+  site.StopDuration = policy.StopDuration;
   addRacks(site, 10);
   for (int n = 0; n < 3; ++n)
     site.submit(
@@ -714,7 +714,7 @@
   int resolvedRuns = 0;
   for (const Decision &d : site.Log) {
     stops += d.What == Decision::Kind::Stopping ? 1 : 0;
-    resolvedRuns += d.What == Decision::Kind::Settled ? 1 : 0;
+    resolvedRuns += d.What == Decision::Kind::RunResolved ? 1 : 0;
   }
   EXPECT_EQ(stops, c.Stops);
   EXPECT_EQ(resolvedRuns, 0);
--- a/tests/auto/settings/tst_nodesettings.cpp
+++ b/tests/auto/settings/tst_nodesettings.cpp
@@ -128,13 +128,13 @@
   // A view of the configuration that serves calls is confirmed again before it
   // is too old, also if one answer is lost. A view that is too old is no longer
   // used well before a revoked key has to be rejected.
-  EXPECT_LE(2 * t.ConfirmEvery, t.OldestConfig);
-  EXPECT_LE(t.OldestConfig, absl::Milliseconds(siteBounds.RevokeMs) / 2);
+  EXPECT_LE(2 * t.ConfirmEvery, t.MaxConfigAge);
+  EXPECT_LE(t.MaxConfigAge, absl::Milliseconds(siteBounds.RevokeMs) / 2);
   EXPECT_LE(t.ConfirmEvery * 3, absl::Milliseconds(siteBounds.ConfigApplyMs));
   // A view that was confirmed in time counts as fresh. Otherwise an entry
   // forwards calls that it could serve itself.
   EXPECT_GT(t.FreshConfig, t.ConfirmEvery);
-  EXPECT_LT(t.FreshConfig, t.OldestConfig);
+  EXPECT_LT(t.FreshConfig, t.MaxConfigAge);
   // Capacity is reclaimed early enough for the stop to end within the bound.
   EXPECT_LT(t.ReclaimAfter + absl::Milliseconds(siteBounds.StopGraceMs),
             absl::Milliseconds(siteBounds.ReclaimMs));
--- a/tests/bench/jobsbench/main.cpp
+++ b/tests/bench/jobsbench/main.cpp
@@ -75,11 +75,11 @@
        [](P &p) { p.Headroom = 2; }},
       {"few_kept",
        "capacity is reserved for two waiting gangs at any site size",
-       [](P &p) { p.WorkersPerKept = 1 << 20; }},
+       [](P &p) { p.WorkersPerReservedGang = 1 << 20; }},
       {"one_failure", "one failed run quarantines a worker",
        [](P &p) { p.Fleet.FailuresBeforeQuarantine = 1; }},
       {"little_waste", "little work may be discarded for urgent work",
-       [](P &p) { p.WasteForAny = 40; }}};
+       [](P &p) { p.MaxLostWorkBase = 40; }}};
   return all;
 }
 
@@ -93,7 +93,7 @@
 jobs::SchedulerPolicy policyFor(const bench::SiteLoad &site,
                                 const NamedPolicy &namedPolicy) {
   jobs::SchedulerPolicy policy;
-  policy.StopTakes = site.StopGrace;
+  policy.StopDuration = site.StopGrace;
   namedPolicy.Apply(policy);
   return policy;
 }
--- a/tests/bench/jobsbench/siteload.cpp
+++ b/tests/bench/jobsbench/siteload.cpp
@@ -205,7 +205,7 @@
       : Site(site), Conditions(conditions), Rng(seed), Sim(policy) {
     Sim.configure(configOf(site));
     addWorkers();
-    Sim.StopTakes = Site.StopDuration;
+    Sim.StopDuration = Site.StopDuration;
     Sim.TickEveryMs = TickEveryMs;
     Sim.Work = [this](const core::TaskId &id, const core::StepSpec &) {
       return Jobs.at(id.Job)
