--- a/src/libs/entry/decisionpacer.h
+++ b/src/libs/entry/decisionpacer.h
@@ -17,9 +17,9 @@
   /// later at the earliest.
   explicit DecisionPacer(int restFactor) : RestFactor(restFactor) {}
 
-  bool due(absl::Time now) const { return now >= NextDue; }
+  bool isDue(absl::Time now) const { return now >= NextDue; }
   /// Records the start and the end of a decision.
-  void decided(absl::Time began, absl::Time ended) {
+  void recordDecision(absl::Time began, absl::Time ended) {
     NextDue = ended + (ended - began) * RestFactor;
   }
 
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -237,7 +237,7 @@
 
 void EntryService::onAnnounce(const endpoints::Announce &announce) {
   const std::string &id = announce.Worker.Id;
-  if (!Scheduler->state().workerKnown(id))
+  if (!Scheduler->state().isWorkerKnown(id))
     logEvent(Event::WorkerJoined, {{"worker", announce.Worker}});
   if (announce.Leaving)
     logEvent(Event::WorkerLeaving, {{"worker", id}});
@@ -531,18 +531,18 @@
   RunRecorder->end(std::move(end));
 }
 
-void EntryService::perform(const scheduler::Note &logReason) {
+void EntryService::perform(const scheduler::LogReason &logReason) {
   switch (logReason.What) {
-  case scheduler::Note::Kind::Stopping:
+  case scheduler::LogReason::Kind::Stopping:
     ++Stopped;
     logEvent(Event::GangStopping,
              {{"run", logReason.Subject}, {"why", logReason.Why}});
     return;
-  case scheduler::Note::Kind::Requeued:
+  case scheduler::LogReason::Kind::Requeued:
     logEvent(Event::GangRequeued,
              {{"gang", logReason.Subject}, {"why", logReason.Why}});
     return;
-  case scheduler::Note::Kind::WorkerQuarantined:
+  case scheduler::LogReason::Kind::WorkerQuarantined:
     logEvent(Event::WorkerKeptOut,
              {{"worker", logReason.Subject}, {"why", logReason.Why}});
     return;
@@ -582,7 +582,7 @@
       1, std::max(ReferenceWidth, Scheduler->widestPending()), 0};
   Fragmentation = placement::fragmentation(state.freeWorkers(), reference);
   GangDispatcher->retainChannels(
-      [&](const std::string &id) { return state.workerKnown(id); });
+      [&](const std::string &id) { return state.isWorkerKnown(id); });
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/entryservice.h
+++ b/src/libs/entry/entryservice.h
@@ -76,7 +76,7 @@
   void perform(const scheduler::StopGang &stop);
   void perform(const scheduler::AnswerCaller &answer);
   void perform(const scheduler::ForgetRun &forget);
-  void perform(const scheduler::Note &logReason);
+  void perform(const scheduler::LogReason &logReason);
   void sendAnswer(const std::string &gangId, const core::JobAnswer &answer);
   void cacheAnswer(const std::string &gangId, const core::JobAnswer &answer);
   void sendReplies();
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -257,7 +257,7 @@
     return;
   }
   logEvent(Event::LeaderElected, {{"epoch", leadership.Epoch}});
-  DutyOptions options;
+  LeaderSessionOptions options;
   options.LeaderKey = JobLeaderKey;
   options.Address = Peers.Address;
   options.Grant = Time.Grant;
@@ -276,7 +276,7 @@
   options.Policy.FinishedJobRetention =
       absl::Milliseconds(Settings.Bounds.KeepFinishedMs) * 5 / 4;
   options.Policy.WallMs = [] { return absl::ToUnixMillis(utils::wallNow()); };
-  Session = std::make_unique<LeaderDuty>(
+  Session = std::make_unique<LeaderSession>(
       Loop, Calls, Peers, *View, options, leadership.Epoch,
       [this] { return Election->confirmed(); },
       [this](const jobs::Decision &d) {
--- a/src/libs/entry/jobentry.h
+++ b/src/libs/entry/jobentry.h
@@ -4,7 +4,7 @@
 #include "endpoints/peers.h"
 #include "jobs/jobservice.h"
 #include "jobs/jobview.h"
-#include "leaderduty.h"
+#include "leadersession.h"
 #include "operators/configfollower.h"
 #include "platform/election.h"
 #include "platform/storehealth.h"
@@ -114,7 +114,7 @@
   std::unique_ptr<jobs::JobService> Service;
   std::unique_ptr<platform::PrefixFollower> Entries;
   std::unique_ptr<platform::Election> Election;
-  std::unique_ptr<LeaderDuty> Session;
+  std::unique_ptr<LeaderSession> Session;
   /// The view has been read completely since the election.
   bool ViewReadSinceElection = false;
 };
--- a/src/libs/entry/leaderduty.cpp
+++ b/src/libs/entry/leadersession.cpp
@@ -1,4 +1,4 @@
-#include "leaderduty.h"
+#include "leadersession.h"
 
 #include "utils/eventloop.h"
 
@@ -28,12 +28,12 @@
 
 } // namespace
 
-LeaderDuty::LeaderDuty(utils::EventLoop &loop, const platform::Store &store,
-                       const endpoints::Peers &peers, const jobs::JobView &view,
-                       DutyOptions options, int64_t epoch,
-                       ConfirmationTime confirmed, OnDecision onDecision,
-                       OnStoreError onStoreError, OnEnding onEnding,
-                       OnRecorded onRecorded, OnLeadershipLost onLeadershipLost)
+LeaderSession::LeaderSession(
+    utils::EventLoop &loop, const platform::Store &store,
+    const endpoints::Peers &peers, const jobs::JobView &view,
+    LeaderSessionOptions options, int64_t epoch, ConfirmationTime confirmed,
+    OnDecision onDecision, OnStoreError onStoreError, OnEnding onEnding,
+    OnRecorded onRecorded, OnLeadershipLost onLeadershipLost)
     : Loop(loop), Calls(store), Peers(peers), View(view),
       Options(std::move(options)), Epoch(epoch),
       LastConfirmed(std::move(confirmed)),
@@ -43,14 +43,14 @@
       ReportLeadershipLost(std::move(onLeadershipLost)),
       Scheduler(Options.Policy, epoch, loop.now()) {}
 
-LeaderDuty::~LeaderDuty() { *Alive = false; }
+LeaderSession::~LeaderSession() { *Alive = false; }
 
-void LeaderDuty::registerLeader(std::function<void()> onRegistered) {
-  Predecessors::Options options;
+void LeaderSession::registerLeader(std::function<void()> onRegistered) {
+  PreviousLeaders::Options options;
   options.LeaderKey = Options.LeaderKey;
   options.OwnTerm = {Epoch, Options.Address};
   options.TimeLimit = Options.Policy.UnreportedLostAfter;
-  Previous = std::make_unique<Predecessors>(
+  Previous = std::make_unique<PreviousLeaders>(
       Loop, Calls, Peers, options,
       [this, onRegistered = std::move(onRegistered)] {
         Registered = true;
@@ -62,7 +62,8 @@
   Previous->start();
 }
 
-void LeaderDuty::begin(const std::shared_ptr<const core::SiteConfig> &config) {
+void LeaderSession::begin(
+    const std::shared_ptr<const core::SiteConfig> &config) {
   Running = true;
   const absl::Time now = Loop.now();
   Scheduler.onConfig(config);
@@ -77,7 +78,7 @@
   postPass();
 }
 
-void LeaderDuty::onConfig(
+void LeaderSession::onConfig(
     const std::shared_ptr<const core::SiteConfig> &config) {
   if (!Running)
     return;
@@ -85,20 +86,20 @@
   postPass();
 }
 
-void LeaderDuty::onRecord(const jobs::StoredJob &job) {
+void LeaderSession::onRecord(const jobs::StoredJob &job) {
   if (!Running)
     return;
   Scheduler.onRecord(job.Record, job.RecordRevision, Loop.now());
   postPass();
 }
 
-void LeaderDuty::onRemoved(const std::string &jobId) {
+void LeaderSession::onRemoved(const std::string &jobId) {
   if (Running)
     Scheduler.onRecordRemoved(jobId);
 }
 
 endpoints::ReportAck
-LeaderDuty::onReport(const endpoints::WorkerReport &report) {
+LeaderSession::onReport(const endpoints::WorkerReport &report) {
   endpoints::ReportAck ack;
   if (!Running)
     return ack;
@@ -117,7 +118,7 @@
   return ack;
 }
 
-void LeaderDuty::scheduleTick() {
+void LeaderSession::scheduleTick() {
   Loop.runAfter(Options.TickEvery, [this, alive = Alive] {
     if (!*alive)
       return;
@@ -130,7 +131,7 @@
 
 // Posts one pass for all inputs that arrive before it runs, so that they are
 // covered by one decision.
-void LeaderDuty::postPass() {
+void LeaderSession::postPass() {
   if (PassPosted)
     return;
   PassPosted = true;
@@ -140,16 +141,16 @@
   });
 }
 
-void LeaderDuty::decideIfDue() {
+void LeaderSession::decideIfDue() {
   const absl::Time began = Loop.now();
-  if (!Pacer.due(began))
+  if (!Pacer.isDue(began))
     return;
   Scheduler.decide(began);
-  Pacer.decided(began, Loop.now());
+  Pacer.recordDecision(began, Loop.now());
 }
 
 // Decides if a decision is due, and passes on what the scheduler produced.
-void LeaderDuty::runPass() {
+void LeaderSession::runPass() {
   PassPosted = false;
   decideIfDue();
   writeProgress();
@@ -160,14 +161,14 @@
     ReportDecision(decision);
 }
 
-void LeaderDuty::sendOrders() {
+void LeaderSession::sendOrders() {
   // The scheduler sends orders again that were not answered in time.
   for (const auto &[address, orders] : Scheduler.takeOrders())
     Peers.Call(address, orders, Options.AgentTimeoutMs,
                [](const std::optional<endpoints::Message> &) {});
 }
 
-void LeaderDuty::writeProgress() {
+void LeaderSession::writeProgress() {
   if (Loop.now() < WritesPausedUntil)
     return;
   std::vector<ProgressWrite> batch;
@@ -180,7 +181,7 @@
     writeBatch(std::move(batch));
 }
 
-void LeaderDuty::writeBatch(std::vector<ProgressWrite> batch) {
+void LeaderSession::writeBatch(std::vector<ProgressWrite> batch) {
   platform::StoreTxn txn;
   txn.Expected.push_back({Options.LeaderKey, Epoch});
   for (const ProgressWrite &progressWrite : batch) {
@@ -210,8 +211,8 @@
                  });
 }
 
-void LeaderDuty::onWritten(const std::vector<ProgressWrite> &batch,
-                           int64_t revision) {
+void LeaderSession::onWritten(const std::vector<ProgressWrite> &batch,
+                              int64_t revision) {
   for (const ProgressWrite &progressWrite : batch) {
     Scheduler.onWritten(progressWrite.JobId, progressWrite.Progress.Version,
                         revision, Loop.now());
@@ -219,8 +220,8 @@
   }
 }
 
-void LeaderDuty::onConflict(const std::vector<ProgressWrite> &batch,
-                            const std::vector<KeyValue> &current) {
+void LeaderSession::onConflict(const std::vector<ProgressWrite> &batch,
+                               const std::vector<KeyValue> &current) {
   const KeyValue *leader = findItem(current, Options.LeaderKey);
   if (leader == nullptr || leader->ModRevision != Epoch) {
     ReportLeadershipLost();
@@ -233,8 +234,8 @@
 // Resolves the conflict for one job of a batch: it was cancelled, or its
 // earlier write took effect although the answer was lost. The other jobs of the
 // batch are written again.
-void LeaderDuty::resolveConflict(const ProgressWrite &progressWrite,
-                                 const std::vector<KeyValue> &current) {
+void LeaderSession::resolveConflict(const ProgressWrite &progressWrite,
+                                    const std::vector<KeyValue> &current) {
   const KeyValue *spec = findItem(current, jobs::specKey(progressWrite.JobId));
   const KeyValue *progress =
       findItem(current, jobs::progressKey(progressWrite.JobId));
@@ -266,7 +267,7 @@
 
 // Removes finished jobs from the store after callers have had time to read
 // their result.
-void LeaderDuty::removeExpiredJobs() {
+void LeaderSession::removeExpiredJobs() {
   if (RemovalPending)
     return;
   std::vector<std::string> expired = Scheduler.takeExpiredJobs(Loop.now());
--- a/src/libs/entry/leaderduty.h
+++ b/src/libs/entry/leadersession.h
@@ -5,7 +5,7 @@
 #include "jobs/jobscheduler.h"
 #include "jobs/jobview.h"
 #include "platform/store.h"
-#include "predecessors.h"
+#include "previousleaders.h"
 
 #include <absl/time/time.h>
 
@@ -21,8 +21,8 @@
 
 namespace oriolebay::entry {
 
-/// Settings of a LeaderDuty.
-struct DutyOptions {
+/// Settings of a LeaderSession.
+struct LeaderSessionOptions {
   std::string LeaderKey;
   /// The address at which other entries reach this one.
   std::string Address;
@@ -48,7 +48,7 @@
 /// The work of an entry while it is the leader: passes inputs to the scheduler,
 /// records the progress of jobs and sends orders to agents. Exists from the
 /// election to the loss of leadership; none of its state is kept after that.
-class LeaderDuty {
+class LeaderSession {
 public:
   using OnDecision = std::function<void(const jobs::Decision &)>;
   using OnStoreError =
@@ -63,15 +63,15 @@
   /// Returns when the store last confirmed that this entry leads.
   using ConfirmationTime = std::function<absl::Time()>;
 
-  LeaderDuty(utils::EventLoop &loop, const platform::Store &store,
-             const endpoints::Peers &peers, const jobs::JobView &view,
-             DutyOptions options, int64_t epoch, ConfirmationTime confirmed,
-             OnDecision onDecision, OnStoreError onStoreError,
-             OnEnding onEnding, OnRecorded onRecorded,
-             OnLeadershipLost onLeadershipLost);
-  ~LeaderDuty();
-  LeaderDuty(const LeaderDuty &) = delete;
-  LeaderDuty &operator=(const LeaderDuty &) = delete;
+  LeaderSession(utils::EventLoop &loop, const platform::Store &store,
+                const endpoints::Peers &peers, const jobs::JobView &view,
+                LeaderSessionOptions options, int64_t epoch,
+                ConfirmationTime confirmed, OnDecision onDecision,
+                OnStoreError onStoreError, OnEnding onEnding,
+                OnRecorded onRecorded, OnLeadershipLost onLeadershipLost);
+  ~LeaderSession();
+  LeaderSession(const LeaderSession &) = delete;
+  LeaderSession &operator=(const LeaderSession &) = delete;
 
   /// Registers this entry in the list of leaders. Calls onRegistered when that
   /// is done; begin() can be called from then on.
@@ -110,7 +110,7 @@
   const platform::Store &Calls;
   const endpoints::Peers &Peers;
   const jobs::JobView &View;
-  const DutyOptions Options;
+  const LeaderSessionOptions Options;
   const int64_t Epoch;
   const ConfirmationTime LastConfirmed;
   const OnDecision ReportDecision;
@@ -120,7 +120,7 @@
   const OnLeadershipLost ReportLeadershipLost;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   jobs::JobScheduler Scheduler;
-  std::unique_ptr<Predecessors> Previous;
+  std::unique_ptr<PreviousLeaders> Previous;
   bool Registered = false;
   bool Running = false;
   bool PassPosted = false;
--- a/src/libs/entry/predecessors.cpp
+++ b/src/libs/entry/previousleaders.cpp
@@ -1,4 +1,4 @@
-#include "predecessors.h"
+#include "previousleaders.h"
 
 #include "utils/eventloop.h"
 
@@ -13,9 +13,9 @@
 
 namespace {
 
-std::string encode(const std::vector<Reign> &terms) {
+std::string encode(const std::vector<LeaderTerm> &terms) {
   json list = json::array();
-  for (const Reign &r : terms)
+  for (const LeaderTerm &r : terms)
     list.push_back({r.Epoch, r.Address});
   return list.dump();
 }
@@ -23,7 +23,7 @@
 // Returns false if the list is unreadable. It must not count as empty then,
 // since the leaders in it may still keep tasks alive for the longest time that
 // a leader can continue. The caller reads it again later.
-bool decode(const std::string &value, std::vector<Reign> &terms) {
+bool decode(const std::string &value, std::vector<LeaderTerm> &terms) {
   const json list = json::parse(value, nullptr, false);
   if (!list.is_array())
     return false;
@@ -38,23 +38,24 @@
 
 } // namespace
 
-Predecessors::Predecessors(utils::EventLoop &loop, const platform::Store &store,
-                           const endpoints::Peers &peers, Options options,
-                           OnRegistered onRegistered, OnAllGone onAllGone)
+PreviousLeaders::PreviousLeaders(utils::EventLoop &loop,
+                                 const platform::Store &store,
+                                 const endpoints::Peers &peers, Options options,
+                                 OnRegistered onRegistered, OnAllGone onAllGone)
     : Loop(loop), Calls(store), Peers(peers), Params(std::move(options)),
       ReportRegistered(std::move(onRegistered)),
       ReportAllGone(std::move(onAllGone)) {}
 
-Predecessors::~Predecessors() { *Alive = false; }
+PreviousLeaders::~PreviousLeaders() { *Alive = false; }
 
-void Predecessors::scheduleRead() {
+void PreviousLeaders::scheduleRead() {
   Loop.runAfter(Params.RetryDelay, [this, alive = Alive] {
     if (*alive)
       read();
   });
 }
 
-void Predecessors::read() {
+void PreviousLeaders::read() {
   Calls.Get(Params.Key,
             [this, alive = Alive](
                 const platform::StoreReply<platform::KeyValue> &reply) {
@@ -63,13 +64,13 @@
             });
 }
 
-void Predecessors::onRead(
+void PreviousLeaders::onRead(
     const platform::StoreReply<platform::KeyValue> &reply) {
   if (reply.Status == StoreStatus::NotFound) {
     registerTerm({}, 0);
     return;
   }
-  std::vector<Reign> previousTerms;
+  std::vector<LeaderTerm> previousTerms;
   if (!reply.ok() || !decode(reply.Value.Value, previousTerms)) {
     scheduleRead();
     return;
@@ -89,9 +90,9 @@
   requestAllStepDowns();
 }
 
-void Predecessors::registerTerm(std::vector<Reign> previousTerms,
-                                int64_t revision) {
-  std::vector<Reign> all = previousTerms;
+void PreviousLeaders::registerTerm(std::vector<LeaderTerm> previousTerms,
+                                   int64_t revision) {
+  std::vector<LeaderTerm> all = previousTerms;
   all.push_back(Params.OwnTerm);
   platform::StoreTxn txn;
   txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
@@ -113,7 +114,7 @@
       });
 }
 
-void Predecessors::requestAllStepDowns() {
+void PreviousLeaders::requestAllStepDowns() {
   ReportRegistered();
   if (PreviousTerms.empty()) {
     ReportAllGone(Loop.now());
@@ -123,11 +124,11 @@
     if (*alive)
       onTimeLimit();
   });
-  for (const Reign &term : std::vector<Reign>(PreviousTerms))
+  for (const LeaderTerm &term : std::vector<LeaderTerm>(PreviousTerms))
     requestStepDown(term);
 }
 
-void Predecessors::requestStepDown(const Reign &term) {
+void PreviousLeaders::requestStepDown(const LeaderTerm &term) {
   // This process has ended its own earlier terms already.
   if (term.Address == Params.OwnTerm.Address) {
     onSteppedDown(term);
@@ -152,7 +153,7 @@
              });
 }
 
-void Predecessors::onSteppedDown(const Reign &term) {
+void PreviousLeaders::onSteppedDown(const LeaderTerm &term) {
   if (PreviousTerms.empty())
     return;
   PreviousTerms.erase(
@@ -164,19 +165,19 @@
 
 // The time limit is counted from this leader's registration, which is later
 // than its election.
-void Predecessors::onTimeLimit() {
+void PreviousLeaders::onTimeLimit() {
   if (PreviousTerms.empty())
     return;
   PreviousTerms.clear();
   onNoneLeft();
 }
 
-void Predecessors::onNoneLeft() {
+void PreviousLeaders::onNoneLeft() {
   ReportAllGone(Loop.now());
   removePreviousTerms();
 }
 
-void Predecessors::removePreviousTerms() {
+void PreviousLeaders::removePreviousTerms() {
   platform::StoreTxn txn;
   txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
   txn.Expected.push_back({Params.Key, Revision});
--- a/src/libs/entry/predecessors.h
+++ b/src/libs/entry/previousleaders.h
@@ -19,10 +19,10 @@
 namespace oriolebay::entry {
 
 /// A term of an entry as leader; the entry may still believe that it leads.
-struct Reign {
+struct LeaderTerm {
   int64_t Epoch = 0;
   std::string Address;
-  auto operator<=>(const Reign &) const = default;
+  auto operator<=>(const LeaderTerm &) const = default;
 };
 
 /// The previous leaders that may still keep tasks alive on agents which the new
@@ -35,12 +35,12 @@
 /// without its confirmation: its host may never answer again, and every later
 /// leader would wait for it anew (18 s each, for a task on a host that is lost
 /// as well). Owned by one event loop.
-class Predecessors {
+class PreviousLeaders {
 public:
   struct Options {
     std::string Key = "oriolebay/leaders";
     std::string LeaderKey;
-    Reign OwnTerm;
+    LeaderTerm OwnTerm;
     /// Time after this leader's election by which no previous leader keeps any
     /// task alive, whether it answers or not.
     absl::Duration TimeLimit = absl::Seconds(18);
@@ -52,23 +52,23 @@
   /// From the given time on, no previous leader keeps any task alive.
   using OnAllGone = std::function<void(absl::Time)>;
 
-  Predecessors(utils::EventLoop &loop, const platform::Store &store,
-               const endpoints::Peers &peers, Options options,
-               OnRegistered onRegistered, OnAllGone onAllGone);
-  ~Predecessors();
-  Predecessors(const Predecessors &) = delete;
-  Predecessors &operator=(const Predecessors &) = delete;
+  PreviousLeaders(utils::EventLoop &loop, const platform::Store &store,
+                  const endpoints::Peers &peers, Options options,
+                  OnRegistered onRegistered, OnAllGone onAllGone);
+  ~PreviousLeaders();
+  PreviousLeaders(const PreviousLeaders &) = delete;
+  PreviousLeaders &operator=(const PreviousLeaders &) = delete;
 
   void start() { read(); }
 
 private:
   void read();
   void onRead(const platform::StoreReply<platform::KeyValue> &reply);
-  void registerTerm(std::vector<Reign> previousTerms, int64_t revision);
+  void registerTerm(std::vector<LeaderTerm> previousTerms, int64_t revision);
   void scheduleRead();
-  void requestStepDown(const Reign &term);
+  void requestStepDown(const LeaderTerm &term);
   void requestAllStepDowns();
-  void onSteppedDown(const Reign &term);
+  void onSteppedDown(const LeaderTerm &term);
   void onTimeLimit();
   void onNoneLeft();
   void removePreviousTerms();
@@ -80,7 +80,7 @@
   const OnRegistered ReportRegistered;
   const OnAllGone ReportAllGone;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  std::vector<Reign> PreviousTerms;
+  std::vector<LeaderTerm> PreviousTerms;
   int64_t Revision = 0;
 };
 
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -99,7 +99,7 @@
   }
 }
 
-void ClusterState::markLeaving(const std::string &workerId) {
+void ClusterState::markDraining(const std::string &workerId) {
   auto it = Workers.find(workerId);
   if (it != Workers.end() && !std::exchange(it->second.Draining, true))
     SlotLayoutDirty = true;
@@ -297,7 +297,7 @@
   return it == Gangs.end() ? nullptr : &it->second;
 }
 
-bool ClusterState::workerKnown(const std::string &workerId) const {
+bool ClusterState::isWorkerKnown(const std::string &workerId) const {
   return Workers.count(workerId) != 0;
 }
 
--- a/src/libs/placement/clusterstate.h
+++ b/src/libs/placement/clusterstate.h
@@ -30,8 +30,8 @@
   RunId Run;
   core::JobRequest Job;
   Assignment Workers;
-  /// For each member the id of the guarantee slot that it uses, or SharedRoom,
-  /// or Borrowed.
+  /// For each member the id of the guarantee slot that it uses, or
+  /// SharedCapacity, or Borrowed.
   std::vector<int64_t> Slots;
   /// A stop was requested. The gang's accelerators stay in use until it has
   /// ended.
@@ -52,10 +52,11 @@
   /// batch work in slots can be stopped for an urgent gang of the same
   /// organisation.
   static constexpr int64_t Borrowed = 0;
-  static constexpr int64_t SharedRoom = -1;
-  /// Whether the gang does not borrow, so that it cannot be preempted for
+  static constexpr int64_t SharedCapacity = -1;
+  /// Whether at least one member stands in a slot of the gang's organisation or
+  /// in capacity that is guaranteed to nobody. Such a gang is not preempted for
   /// another organisation's guarantee.
-  bool firm() const {
+  bool hasOwnCapacity() const {
     return std::any_of(Slots.begin(), Slots.end(),
                        [](int64_t s) { return s != Borrowed; });
   }
@@ -102,7 +103,7 @@
   std::vector<RunId> upsertWorker(const core::WorkerInfo &info,
                                   int64_t incarnation, absl::Time now);
   /// Places no new work on the worker from now on, because it drains.
-  void markLeaving(const std::string &workerId);
+  void markDraining(const std::string &workerId);
   /// Marks workers without an announcement for longer than timeout as
   /// unresponsive, and returns the runs on those that were not marked before.
   /// An unresponsive worker gets no new work, but the tasks on it stay charged:
@@ -162,7 +163,7 @@
   int workerCount() const { return static_cast<int>(Workers.size()); }
   const Allocation *allocation(const RunId &run) const;
   const std::map<RunId, Allocation> &allocations() const { return Gangs; }
-  bool workerKnown(const std::string &workerId) const;
+  bool isWorkerKnown(const std::string &workerId) const;
   bool isQuarantined(const std::string &workerId, absl::Time now) const;
   /// Number of guaranteed accelerators whose slots are on no worker now. It is
   /// above zero only while workers are missing, while the profiles guarantee
@@ -263,7 +264,7 @@
   selectVictims(const core::JobRequest &job, const Assignment &workers,
                 const std::set<RunId> &ownVictims,
                 const std::vector<const Allocation *> &candidates) const;
-  enum class CapacitySource { Borrowed, Slots, SharedRoom };
+  enum class CapacitySource { Borrowed, Slots, SharedCapacity };
   const Allocation &commitPlan(const RunId &run, const core::JobRequest &job,
                                PlacementPlan plan, CapacitySource source);
   void adjustUse(const std::string &workerId, int used, int shared);
--- a/src/libs/placement/admission.cpp
+++ b/src/libs/placement/clusterstate_admission.cpp
@@ -91,7 +91,7 @@
                                    bool usesSlots) const {
   std::vector<const Allocation *> preemptible;
   for (const auto &[run, gang] : Gangs)
-    if (!gang.firm() && gang.Job.Idempotent && !gang.Stopping &&
+    if (!gang.hasOwnCapacity() && gang.Job.Idempotent && !gang.Stopping &&
         (usesSlots || gang.Job.Class == JobClass::Batch))
       preemptible.push_back(&gang);
   std::map<OrganisationKey, bool> withinGuaranteeOf;
@@ -118,7 +118,7 @@
                                 int neededAccelerators) const {
   std::vector<const Allocation *> ownGangs;
   for (const auto &[run, gang] : Gangs)
-    if (gang.firm() && gang.Job.Idempotent && !gang.Stopping &&
+    if (gang.hasOwnCapacity() && gang.Job.Idempotent && !gang.Stopping &&
         gang.Job.Class == JobClass::Batch &&
         organisationOf(gang.Job) == organisationOf(job))
       ownGangs.push_back(&gang);
@@ -272,7 +272,7 @@
   for (const RunId &victim : gang.WaitsFor)
     releaseSlots(Gangs.at(victim));
   Allocation &stored = Gangs[run] = std::move(gang);
-  if (source == CapacitySource::SharedRoom)
+  if (source == CapacitySource::SharedCapacity)
     assignSharedCapacity(stored);
   if (source == CapacitySource::Slots) {
     if (auto slots = planSlots(organisationOf(job), stored.Workers,
@@ -322,7 +322,7 @@
           std::clamp(Workers.at(w.Id).unreserved(), 0, w.FreeAccelerators);
     if (auto chosenWorkers = Place(sharedOnly, shape))
       return commitPlan(run, job, {*chosenWorkers, {}},
-                        CapacitySource::SharedRoom);
+                        CapacitySource::SharedCapacity);
   }
 
   // There is not enough free capacity. Reclaim borrowed capacity, and let
@@ -370,7 +370,7 @@
   // that borrow before those in slots or shared capacity, then batch before
   // urgent, and then the latest started first.
   auto rank = [](const Allocation *g) {
-    return (g->Job.Idempotent ? 0 : 4) + (g->firm() ? 2 : 0) +
+    return (g->Job.Idempotent ? 0 : 4) + (g->hasOwnCapacity() ? 2 : 0) +
            (g->Job.Class == JobClass::Urgent ? 1 : 0);
   };
   std::sort(stopOrder.begin(), stopOrder.end(),
--- a/src/libs/placement/reserve.cpp
+++ b/src/libs/placement/clusterstate_slots.cpp
@@ -268,7 +268,7 @@
 
 void ClusterState::assignSharedCapacity(Allocation &gang) {
   for (size_t m = 0; m < gang.Workers.size(); ++m) {
-    gang.Slots[m] = Allocation::SharedRoom;
+    gang.Slots[m] = Allocation::SharedCapacity;
     adjustUse(gang.Workers[m], 0, gang.Job.GangShape.AcceleratorsPerMember);
   }
 }
@@ -276,7 +276,7 @@
 void ClusterState::releaseSlot(Allocation &gang, size_t member) {
   const int width = gang.Job.GangShape.AcceleratorsPerMember;
   const int64_t id = std::exchange(gang.Slots[member], Allocation::Borrowed);
-  if (id == Allocation::SharedRoom) {
+  if (id == Allocation::SharedCapacity) {
     adjustUse(gang.Workers[member], 0, -width);
     SlotLayoutDirty = true;
   } else if (id != Allocation::Borrowed) {
@@ -310,7 +310,7 @@
     if (usedInSlots(organisation) + shape.accelerators() >
         guaranteedTo(organisation))
       continue;
-    const bool usesSharedCapacity = gang->firm();
+    const bool usesSharedCapacity = gang->hasOwnCapacity();
     if (usesSharedCapacity)
       releaseSlots(*gang);
     if (auto plan =
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -117,12 +117,12 @@
 void GangScheduler::onAnnounce(const endpoints::Announce &announce, bool fenced,
                                absl::Time now) {
   const std::string &id = announce.Worker.Id;
-  PlacementDue = PlacementDue || !State.workerKnown(id);
+  PlacementDue = PlacementDue || !State.isWorkerKnown(id);
   for (const RunId &run :
        State.upsertWorker(announce.Worker, announce.Incarnation, now))
     handleLostMembers(run, id, now);
   if (announce.Leaving)
-    State.markLeaving(id);
+    State.markDraining(id);
   recordWatts(announce);
   if (fenced) {
     checkAdoptedRuns(announce, now);
@@ -245,8 +245,9 @@
     const bool wasQuarantined = State.isQuarantined(result.WorkerId, now);
     State.recordTaskEnd(result.WorkerId, result.End == TaskEnd::Done, now);
     if (!wasQuarantined && State.isQuarantined(result.WorkerId, now))
-      Actions.push_back(Note{Note::Kind::WorkerQuarantined, result.WorkerId,
-                             "failed several tasks in a row"});
+      Actions.push_back(LogReason{LogReason::Kind::WorkerQuarantined,
+                                  result.WorkerId,
+                                  "failed several tasks in a row"});
   }
   if (result.End == TaskEnd::Failed)
     it->second.Gang.AvoidedWorkers.insert(result.WorkerId);
@@ -326,7 +327,7 @@
   RunState &r = it->second;
   r.Cause = cause;
   r.Detail = detail;
-  Actions.push_back(Note{Note::Kind::Stopping, run, detail});
+  Actions.push_back(LogReason{LogReason::Kind::Stopping, run, detail});
   const placement::Allocation *alloc = State.allocation(run);
   if (!alloc->WaitsFor.empty()) {
     // The gang was placed but not started, so there is nothing to stop.
@@ -390,7 +391,8 @@
   // ran is not waiting time.
   gang.WaitingSince = now;
   gang.DrainedWorkers.clear();
-  Actions.push_back(Note{Note::Kind::Requeued, gang.Request.GangId, why});
+  Actions.push_back(
+      LogReason{LogReason::Kind::Requeued, gang.Request.GangId, why});
   Pending.push_back(std::move(gang));
   PlacementDue = true;
 }
--- a/src/libs/scheduler/gangscheduler.h
+++ b/src/libs/scheduler/gangscheduler.h
@@ -72,13 +72,14 @@
   GangRequest Request;
 };
 /// Action: log why a gang is stopped or requeued, or a worker is quarantined.
-struct Note {
+struct LogReason {
   enum class Kind { Stopping, Requeued, WorkerQuarantined };
   Kind What = Kind::Stopping;
   std::string Subject;
   std::string Why;
 };
-using Action = std::variant<StartGang, StopGang, AnswerCaller, ForgetRun, Note>;
+using Action =
+    std::variant<StartGang, StopGang, AnswerCaller, ForgetRun, LogReason>;
 
 /// A run that was recorded by an earlier leader and is adopted by this one.
 struct AdoptedRun {
--- a/tests/auto/entry/tst_decisionpacer.cpp
+++ b/tests/auto/entry/tst_decisionpacer.cpp
@@ -31,10 +31,10 @@
   int decisions = 0;
   absl::Duration deciding = absl::ZeroDuration();
   while (now < start + absl::Seconds(1)) {
-    if (pacer.due(now)) {
+    if (pacer.isDue(now)) {
       const absl::Time passStart = now;
       now += absl::Milliseconds(GetParam().DecisionMs);
-      pacer.decided(passStart, now);
+      pacer.recordDecision(passStart, now);
       deciding += now - passStart;
       ++decisions;
     }
--- a/tests/auto/placement/tst_clusterstate.cpp
+++ b/tests/auto/placement/tst_clusterstate.cpp
@@ -156,8 +156,8 @@
   auto lostJobs = state.expireWorkers(absl::UnixEpoch() + absl::Seconds(5),
                                       absl::Seconds(3));
   EXPECT_EQ(lostJobs, std::vector<std::string>{"a"});
-  EXPECT_FALSE(state.workerKnown("w1"));
-  EXPECT_TRUE(state.workerKnown("w2"));
+  EXPECT_FALSE(state.isWorkerKnown("w1"));
+  EXPECT_TRUE(state.isWorkerKnown("w2"));
 }
 
 // Guards against preempting a gang that runs within its organisation's own
@@ -176,14 +176,14 @@
   ASSERT_TRUE(std::holds_alternative<placement::Allocation>(decision));
   EXPECT_EQ(std::get<placement::Allocation>(decision).WaitsFor.count("own"),
             0u);
-  EXPECT_TRUE(state.allocation("own")->firm());
+  EXPECT_TRUE(state.allocation("own")->hasOwnCapacity());
 }
 
 // No new gang may be placed on a worker that drains.
 TEST(Workers, DrainingWorkerGetsNoNewGang) {
   auto state = makeState();
-  state.markLeaving("w1");
-  state.markLeaving("w2");
+  state.markDraining("w1");
+  state.markDraining("w2");
   auto decision = state.admit("a", makeJob("a", "big", {1, 1, 100}), Start);
   ASSERT_TRUE(std::holds_alternative<placement::Refusal>(decision));
   EXPECT_EQ(std::get<placement::Refusal>(decision).Reason,
--- a/tests/auto/scheduler/tst_gangscheduler.cpp
+++ b/tests/auto/scheduler/tst_gangscheduler.cpp
@@ -192,7 +192,7 @@
     }
   }
   void carryOut(const scheduler::ForgetRun &) {}
-  void carryOut(const scheduler::Note &) {}
+  void carryOut(const scheduler::LogReason &) {}
 
   void checkInvariants() {
     std::map<std::string, int> used;
