--- a/src/app/agent/jobscommand.cpp
+++ b/src/app/agent/jobscommand.cpp
@@ -7,9 +7,9 @@
 #include "metrics/metricsserver.h"
 #include "settings/nodesettings.h"
 #include "settings/settings.h"
-#include "storeform.h"
+#include "storeadapter.h"
 #include "utils/eventloop.h"
-#include "workerform.h"
+#include "workeradapter.h"
 
 #include <iostream>
 #include <stdexcept>
@@ -43,8 +43,8 @@
             [this](const endpoints::Heartbeat &b) {
               return Agent.onHeartbeat(b);
             },
-            [this](const endpoints::WorkerLife &life) {
-              Agent.onLeave(life);
+            [this](const endpoints::WorkerIncarnation &incarnation) {
+              Agent.onDeregister(incarnation);
             }) {
     if (Settings.Metrics.Port > 0)
       MetricsHttpServer = std::make_unique<metrics::MetricsServer>(
@@ -75,7 +75,7 @@
     m.set("tasks_running", "Tasks that the worker was last seen to run.",
           static_cast<double>(s.Running));
     m.set("ends_open", "Ends of tasks that are not recorded yet.",
-          static_cast<double>(s.EndsOpen));
+          static_cast<double>(s.UnacknowledgedEnds));
     m.set("grant_left_seconds", "For how long tasks may be kept alive.",
           s.GrantLeftSeconds);
   }
@@ -85,7 +85,7 @@
   http::AsyncClient Client;
   metrics::ProcessMetrics Metrics;
   WorkerAgent Agent;
-  adapter::HeartbeatFront Heartbeats;
+  adapter::HeartbeatServer Heartbeats;
   std::unique_ptr<metrics::MetricsServer> MetricsHttpServer;
 };
 
--- a/src/app/entry/jobscommand.cpp
+++ b/src/app/entry/jobscommand.cpp
@@ -1,15 +1,15 @@
 #include "jobscommand.h"
 
-#include "callerform.h"
+#include "calleradapter.h"
 #include "common/signalthread.h"
-#include "configform.h"
+#include "configadapter.h"
 #include "entry/jobentry.h"
 #include "eventlog/eventlog.h"
 #include "http/asyncclient.h"
 #include "metrics/metricsserver.h"
 #include "settings/nodesettings.h"
 #include "settings/settings.h"
-#include "storeform.h"
+#include "storeadapter.h"
 #include "utils/boottime.h"
 #include "utils/eventloop.h"
 
@@ -39,7 +39,7 @@
       : Settings(settings), Loop(LoopCapacity),
         Entry(Loop, adapter::makeStore(Loop, Client, Settings.Store.text()),
               endpoints::makeNngPeers(Loop, "tcp://" + Settings.Peers.text()),
-              Settings, adapter::readConfig, adapter::ConfigKey,
+              Settings, adapter::parseConfig, adapter::ConfigKey,
               metricObservers()),
         Callers(Loop, Entry.jobService(), Settings.Callers.Host,
                 Settings.Callers.Port),
@@ -135,8 +135,8 @@
   http::AsyncClient Client;
   metrics::ProcessMetrics Metrics;
   JobEntry Entry;
-  adapter::CallerFront Callers;
-  adapter::ReadyFront Ready;
+  adapter::CallerServer Callers;
+  adapter::ReadinessServer Ready;
   std::unique_ptr<metrics::MetricsServer> MetricsHttpServer;
   absl::Time StopStartedAt = absl::InfinitePast();
 };
--- a/src/libs/agent/agentservice.cpp
+++ b/src/libs/agent/agentservice.cpp
@@ -301,7 +301,7 @@
           StopRequested.WaitForNotificationWithTimeout(RetryPeriod))
         break;
     }
-    Tasks.reported(key);
+    Tasks.removeReported(key);
   }
 }
 
--- a/src/libs/agent/leaderfinder.cpp
+++ b/src/libs/agent/leaderfinder.cpp
@@ -20,7 +20,7 @@
   return entry;
 }
 
-void LeaderFinder::learnEntries(std::vector<std::string> entries) {
+void LeaderFinder::setEntries(std::vector<std::string> entries) {
   ConsecutiveMisses = 0;
   if (entries.empty())
     return;
@@ -64,7 +64,7 @@
   return false;
 }
 
-void LeaderFinder::onSilence(const std::string &address) {
+void LeaderFinder::onNoAnswer(const std::string &address) {
   if (address == Target)
     selectOtherTarget();
 }
--- a/src/libs/agent/leaderfinder.h
+++ b/src/libs/agent/leaderfinder.h
@@ -21,18 +21,18 @@
   std::optional<std::string> secondTarget();
   /// Returns whether the owner should read the entries from the store, because
   /// none is known or all known entries may be gone.
-  bool wantsEntries() const {
+  bool needsEntries() const {
     return Target.empty() || ConsecutiveMisses >= MissesBeforeStoreRead;
   }
   /// Sets the entries that were read from the store. An empty list keeps the
   /// known ones.
-  void learnEntries(std::vector<std::string> entries);
+  void setEntries(std::vector<std::string> entries);
 
   /// Handles the answer of the entry at address. Returns true if that entry
   /// leads with the highest epoch known so far.
   bool onAnswer(const std::string &address, const endpoints::ReportAck &ack);
   /// Handles a report to the entry at address that got no answer.
-  void onSilence(const std::string &address);
+  void onNoAnswer(const std::string &address);
 
   bool knowsLeader() const { return TargetLeads; }
   int64_t epoch() const { return Epoch; }
--- a/src/libs/agent/startbook.h
+++ b/src/libs/agent/starttracker.h
@@ -12,33 +12,33 @@
 /// Tracks the starts that were sent to one incarnation of a worker. If that
 /// incarnation ends without notice, it tells which runs may have crashed it and
 /// which may still start. Uses no threads, clock or sockets.
-class StartBook {
+class StartTracker {
 public:
   /// Records that a start is sent to the worker, for the first time or as a
   /// retry.
-  void sent(const endpoints::RunId &run, absl::Time now);
+  void recordSent(const endpoints::RunId &run, absl::Time now);
   /// Records that the worker, or another incarnation under its id, accepted the
   /// run.
-  void taken(const endpoints::RunId &run);
+  void recordAccepted(const endpoints::RunId &run);
   /// Records that this incarnation listed the run, as running or ended.
-  void listed(const endpoints::RunId &run);
+  void recordListed(const endpoints::RunId &run);
   /// Records that the worker certainly did not start the run.
-  void neverBegan(const endpoints::RunId &run);
+  void recordNotStarted(const endpoints::RunId &run);
   /// Records that the worker answered a call.
-  void answered(absl::Time now);
+  void recordAnswer(absl::Time now);
   /// Records that a call got no answer.
-  void unanswered(absl::Time now);
+  void recordNoAnswer(absl::Time now);
 
   /// Returns the runs that may have crashed the worker: those that started, or
-  /// may have started, less than endpoints::CrashShowsWithin before its last
-  /// answer or after that answer. Runs that were sent after the first
+  /// may have started, less than endpoints::CrashDetectionWindow before its
+  /// last answer or after that answer. Runs that were sent after the first
   /// unanswered call are excluded.
-  std::vector<endpoints::RunId> justBegun() const;
+  std::vector<endpoints::RunId> recentlyStartedRuns() const;
   /// Returns the runs that this incarnation never listed and that the next one
   /// under its id may have or still receive. If nothing listens at the worker's
   /// address any more (nothingListens), the runs that it accepted are excluded,
   /// because they ended with its process.
-  std::vector<endpoints::RunId> mayStillBegin(bool nothingListens) const;
+  std::vector<endpoints::RunId> possibleLateStarts(bool nothingListens) const;
 
 private:
   struct Start {
--- a/src/libs/agent/tasktable.cpp
+++ b/src/libs/agent/tasktable.cpp
@@ -110,7 +110,7 @@
   FreeAccelerators += it->second.Accelerators;
 }
 
-void TaskTable::reported(const TaskKey &key) {
+void TaskTable::removeReported(const TaskKey &key) {
   absl::MutexLock lock(&Mu);
   Tasks.erase(key);
 }
--- a/src/libs/agent/tasktable.h
+++ b/src/libs/agent/tasktable.h
@@ -58,7 +58,7 @@
   /// Marks the task as ended on the back end and frees its accelerators.
   void endRun(const TaskKey &key);
   /// Removes a task whose end was reported and acknowledged.
-  void reported(const TaskKey &key);
+  void removeReported(const TaskKey &key);
 
   /// Waits until a running task has to be stopped, and returns the tasks that
   /// were not returned before. Tasks that have not ended after the retry period
--- a/src/libs/agent/latestarts.cpp
+++ b/src/libs/agent/unansweredstarts.cpp
@@ -1,4 +1,4 @@
-#include "latestarts.h"
+#include "unansweredstarts.h"
 
 namespace oriolebay::agent {
 
@@ -6,7 +6,7 @@
 
 void UnansweredStarts::recordAttempt(const RunId &run, absl::Time now) {
   std::erase_if(LastAttempts, [now](const auto &entry) {
-    return now - entry.second > endpoints::LateOrdersWithin;
+    return now - entry.second > endpoints::MaxOrderDelay;
   });
   LastAttempts[run] = now;
 }
@@ -14,7 +14,7 @@
 bool UnansweredStarts::isUnresolved(const RunId &run, absl::Time now) const {
   auto it = LastAttempts.find(run);
   return it != LastAttempts.end() &&
-         now - it->second <= endpoints::LateOrdersWithin;
+         now - it->second <= endpoints::MaxOrderDelay;
 }
 
 std::vector<RunId> UnansweredStarts::unresolvedRuns(absl::Time now) const {
--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -10,7 +10,7 @@
 
 using endpoints::CallOutcome;
 using endpoints::CallStatus;
-using endpoints::HoldReply;
+using endpoints::KeepAliveReply;
 using endpoints::Message;
 using eventlog::Event;
 using eventlog::logEvent;
@@ -77,7 +77,7 @@
   s.KnowsLeader = Leader.knowsLeader();
   s.LeaderEpoch = Epoch;
   s.Running = Running.size();
-  s.EndsOpen = Ended.size();
+  s.UnacknowledgedEnds = Ended.size();
   if (GrantEnd > Loop.now())
     s.GrantLeftSeconds = absl::ToDoubleSeconds(GrantEnd - Loop.now());
   return s;
@@ -91,7 +91,7 @@
   if (clockMs <= 0)
     return;
   ClockOffset = clockMs - toMs(Loop.now());
-  SentStarts.answered(Loop.now());
+  SentStarts.recordAnswer(Loop.now());
 }
 
 int64_t WorkerAgent::keepAliveUntilMs() const {
@@ -105,11 +105,11 @@
 void WorkerAgent::sendKeepAlive(int64_t waitMs) {
   if (State.Life.empty())
     return;
-  const endpoints::HoldCall call = makeKeepAliveCall(waitMs);
+  const endpoints::KeepAliveCall call = makeKeepAliveCall(waitMs);
   const uint64_t number = ++KeepAlivesSent;
   ++KeepAlivesInFlight;
-  Worker.Hold(call, [this, alive = Alive, number, incarnation = State.Life,
-                     epoch = Epoch](const HoldReply &reply) {
+  Worker.KeepAlive(call, [this, alive = Alive, number, incarnation = State.Life,
+                          epoch = Epoch](const KeepAliveReply &reply) {
     if (!*alive || incarnation != State.Life)
       return;
     --KeepAlivesInFlight;
@@ -117,8 +117,8 @@
   });
 }
 
-endpoints::HoldCall WorkerAgent::makeKeepAliveCall(int64_t waitMs) const {
-  endpoints::HoldCall call;
+endpoints::KeepAliveCall WorkerAgent::makeKeepAliveCall(int64_t waitMs) const {
+  endpoints::KeepAliveCall call;
   call.Life = State.Life;
   call.UntilMs = keepAliveUntilMs();
   call.Epoch = Epoch;
@@ -147,7 +147,7 @@
 }
 
 void WorkerAgent::onKeepAliveReply(uint64_t number, int64_t epoch,
-                                   const HoldReply &reply) {
+                                   const KeepAliveReply &reply) {
   const CallOutcome &outcome = reply.Outcome;
   if (isOtherIncarnation(outcome, State.Life)) {
     endIncarnation("another incarnation answered", EndReason::Superseded);
@@ -157,9 +157,9 @@
   // consecutive refusals are required, because a listener may be missing for a
   // moment.
   RefusedConnections =
-      outcome.Status == CallStatus::NotThere ? RefusedConnections + 1 : 0;
+      outcome.Status == CallStatus::NotListening ? RefusedConnections + 1 : 0;
   if (outcome.Status != CallStatus::Ok)
-    SentStarts.unanswered(Loop.now());
+    SentStarts.recordNoAnswer(Loop.now());
   if (RefusedConnections >= RefusalsUntilProcessEnded) {
     endIncarnation("nothing listens at its address",
                    EndReason::ConnectionRefused);
@@ -185,9 +185,9 @@
                reply.Running.size() != Running.size();
     Running = reply.Running;
     for (const endpoints::RunningTask &r : Running)
-      SentStarts.listed({r.Task, r.Run});
+      SentStarts.recordListed({r.Task, r.Run});
     for (const endpoints::EndedTask &e : reply.Ended)
-      SentStarts.listed({e.Task, e.Run});
+      SentStarts.recordListed({e.Task, e.Run});
     if (!reply.Ended.empty() && reply.Ended != Ended)
       EndsChangedAt = Loop.now();
     Ended = reply.Ended;
@@ -254,7 +254,7 @@
   // they would appear empty.
   if (!State.Life.empty() && !ListsReceived)
     return;
-  if (Leader.wantsEntries())
+  if (Leader.needsEntries())
     readEntriesFromStore();
   if (Leader.target().empty())
     return;
@@ -301,7 +301,7 @@
 void WorkerAgent::onReportUnanswered(const std::string &address) {
   if (Leader.knowsLeader() && address == Leader.target())
     logEvent(Event::LeaderUnreachable, {{"leader", address}});
-  Leader.onSilence(address);
+  Leader.onNoAnswer(address);
   reportAfter(ReportRetryPause);
 }
 
@@ -344,7 +344,7 @@
           return;
         std::vector<std::string> entries = parseEntryAddresses(reply.Value);
         const bool found = !entries.empty();
-        Leader.learnEntries(std::move(entries));
+        Leader.setEntries(std::move(entries));
         Loop.runAfter(found ? absl::ZeroDuration() : StoreReadRetryPause,
                       [this, alive] {
                         if (!*alive)
@@ -401,8 +401,9 @@
     done();
     return;
   }
-  Worker.Hold(makeKeepAliveCall(0),
-              [done = std::move(done)](const HoldReply &) { done(); });
+  Worker.KeepAlive(
+      makeKeepAliveCall(0),
+      [done = std::move(done)](const KeepAliveReply &) { done(); });
 }
 
 } // namespace oriolebay::agent
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -2,11 +2,11 @@
 
 #include "endpoints/peers.h"
 #include "endpoints/workercalls.h"
-#include "latestarts.h"
 #include "leaderfinder.h"
 #include "platform/store.h"
 #include "settings/nodesettings.h"
-#include "startbook.h"
+#include "starttracker.h"
+#include "unansweredstarts.h"
 
 #include <absl/time/time.h>
 
@@ -33,7 +33,7 @@
   int64_t LeaderEpoch = 0;
   size_t Running = 0;
   /// Number of ended runs that the leader has not acknowledged.
-  size_t EndsOpen = 0;
+  size_t UnacknowledgedEnds = 0;
   /// Time in seconds for which the agent may still keep its tasks alive; zero
   /// if the grant has expired.
   double GrantLeftSeconds = 0;
@@ -63,7 +63,7 @@
   bool onHeartbeat(const endpoints::Heartbeat &heartbeat);
   /// Handles the deregistration of a worker incarnation, which announces its
   /// end.
-  void onLeave(const endpoints::WorkerLife &incarnation);
+  void onDeregister(const endpoints::WorkerIncarnation &incarnation);
   /// Stops as planned: the tasks are kept alive for as long as granted, so that
   /// they survive the change to the next agent process. Calls done when this
   /// process can end.
@@ -80,8 +80,9 @@
 
   /// Returns whether the outcome comes from another incarnation than the called
   /// one.
-  static bool isOtherIncarnation(const endpoints::CallOutcome &outcome,
-                                 const endpoints::WorkerLife &incarnation);
+  static bool
+  isOtherIncarnation(const endpoints::CallOutcome &outcome,
+                     const endpoints::WorkerIncarnation &incarnation);
   /// Applies a heartbeat of the served incarnation.
   void applyHeartbeat(const endpoints::Heartbeat &heartbeat);
   /// Calls the worker to check whether the incarnation of the heartbeat is the
@@ -91,19 +92,19 @@
   /// How the agent learned that the served incarnation has ended.
   enum class EndReason { Deregistered, ConnectionRefused, Superseded };
   void endIncarnation(const std::string &why, EndReason reason);
-  void resolveUnansweredStarts(const endpoints::WorkerLife &ended);
-  void resolveUnansweredStart(const endpoints::WorkerLife &ended,
+  void resolveUnansweredStarts(const endpoints::WorkerIncarnation &ended);
+  void resolveUnansweredStart(const endpoints::WorkerIncarnation &ended,
                               const endpoints::RunId &run);
-  void recordIncarnationEnd(endpoints::LifeEnd end);
+  void recordIncarnationEnd(endpoints::IncarnationEnd end);
   void logIgnoredHeartbeat(const endpoints::Heartbeat &heartbeat);
-  bool hasEnded(const endpoints::WorkerLife &incarnation) const;
-  void removeIncarnationEnd(const endpoints::WorkerLife &incarnation);
+  bool hasEnded(const endpoints::WorkerIncarnation &incarnation) const;
+  void removeIncarnationEnd(const endpoints::WorkerIncarnation &incarnation);
 
   void sendKeepAlive(int64_t waitMs);
-  endpoints::HoldCall makeKeepAliveCall(int64_t waitMs) const;
+  endpoints::KeepAliveCall makeKeepAliveCall(int64_t waitMs) const;
   void scheduleKeepAlive(absl::Duration delay);
   void onKeepAliveReply(uint64_t number, int64_t epoch,
-                        const endpoints::HoldReply &reply);
+                        const endpoints::KeepAliveReply &reply);
   absl::Duration pauseBeforePoll() const;
   /// Counts a failed poll, and reports the worker as unreachable after several.
   void recordFailedPoll(const std::string &why);
@@ -152,12 +153,12 @@
   int64_t LastHeartbeatSequence = 0;
   absl::Time LastHeartbeatAt;
   /// The latest incarnations that have ended, the newest last.
-  std::vector<endpoints::LifeEnd> EndedIncarnations;
+  std::vector<endpoints::IncarnationEnd> EndedIncarnations;
   /// Ended incarnations whose heartbeats were ignored. Only the first one of
   /// each is logged.
-  std::set<endpoints::WorkerLife> IgnoredIncarnations;
+  std::set<endpoints::WorkerIncarnation> IgnoredIncarnations;
   /// Incarnation that is being probed; empty if none.
-  endpoints::WorkerLife ProbedIncarnation;
+  endpoints::WorkerIncarnation ProbedIncarnation;
   /// Worker clock minus boot clock in milliseconds, as of the last answer.
   std::optional<int64_t> ClockOffset;
 
@@ -196,7 +197,7 @@
   bool ListsReceived = false;
 
   /// Starts that were sent to this incarnation.
-  StartBook SentStarts;
+  StartTracker SentStarts;
   /// Starts without an answer. Kept across incarnations, as they may share an
   /// id.
   UnansweredStarts Unanswered;
--- a/src/libs/agent/workeragent_life.cpp
+++ b/src/libs/agent/workeragent_incarnation.cpp
@@ -13,9 +13,9 @@
 using endpoints::CallOutcome;
 using endpoints::CallStatus;
 using endpoints::Heartbeat;
-using endpoints::HoldReply;
-using endpoints::LifeEnd;
-using endpoints::WorkerLife;
+using endpoints::IncarnationEnd;
+using endpoints::KeepAliveReply;
+using endpoints::WorkerIncarnation;
 using eventlog::Event;
 using eventlog::logEvent;
 
@@ -33,8 +33,8 @@
 // A worker may restart under the same id. Only the start time tells whether an
 // answer comes from another incarnation than the one that was called.
 bool WorkerAgent::isOtherIncarnation(const CallOutcome &outcome,
-                                     const WorkerLife &incarnation) {
-  if (outcome.Status == CallStatus::OtherLife)
+                                     const WorkerIncarnation &incarnation) {
+  if (outcome.Status == CallStatus::OtherIncarnation)
     return true;
   return outcome.BornMs != 0 && incarnation.BornMs != 0 &&
          outcome.BornMs != incarnation.BornMs;
@@ -92,27 +92,28 @@
 // crashed and a new incarnation began at the same address. Only the worker
 // itself can tell which of two incarnations is the current one.
 void WorkerAgent::probeIncarnation(const Heartbeat &heartbeat) {
-  const WorkerLife &incarnation = heartbeat.Worker.Life;
+  const WorkerIncarnation &incarnation = heartbeat.Worker.Life;
   if (ProbedIncarnation == incarnation)
     return;
   ProbedIncarnation = incarnation;
-  endpoints::HoldCall probe;
+  endpoints::KeepAliveCall probe;
   probe.Life = incarnation;
   probe.Epoch = Epoch;
-  Worker.Hold(probe, [this, alive = Alive, heartbeat](const HoldReply &reply) {
-    if (!*alive || ProbedIncarnation != heartbeat.Worker.Life)
-      return;
-    ProbedIncarnation = {};
-    if (isOtherIncarnation(reply.Outcome, heartbeat.Worker.Life)) {
-      recordIncarnationEnd({heartbeat.Worker.Life});
-      return;
-    }
-    if (reply.Outcome.Status != CallStatus::Ok)
-      return;
-    beginIncarnation(heartbeat);
-    recordWorkerClock(reply.Outcome.ClockMs);
-    sendKeepAlive(0);
-  });
+  Worker.KeepAlive(
+      probe, [this, alive = Alive, heartbeat](const KeepAliveReply &reply) {
+        if (!*alive || ProbedIncarnation != heartbeat.Worker.Life)
+          return;
+        ProbedIncarnation = {};
+        if (isOtherIncarnation(reply.Outcome, heartbeat.Worker.Life)) {
+          recordIncarnationEnd({heartbeat.Worker.Life});
+          return;
+        }
+        if (reply.Outcome.Status != CallStatus::Ok)
+          return;
+        beginIncarnation(heartbeat);
+        recordWorkerClock(reply.Outcome.ClockMs);
+        sendKeepAlive(0);
+      });
 }
 
 void WorkerAgent::beginIncarnation(const Heartbeat &heartbeat) {
@@ -131,13 +132,13 @@
 }
 
 void WorkerAgent::endIncarnation(const std::string &why, EndReason reason) {
-  LifeEnd end{State.Life};
+  IncarnationEnd end{State.Life};
   end.Crashed = reason != EndReason::Deregistered && !State.Draining;
   if (end.Crashed)
-    end.JustBegun = SentStarts.justBegun();
+    end.JustBegun = SentStarts.recentlyStartedRuns();
   end.Witnessed = true;
   end.MayStillBegin =
-      SentStarts.mayStillBegin(reason == EndReason::ConnectionRefused);
+      SentStarts.possibleLateStarts(reason == EndReason::ConnectionRefused);
   for (const endpoints::RunId &run : Unanswered.unresolvedRuns(Loop.now()))
     if (std::count(end.MayStillBegin.begin(), end.MayStillBegin.end(), run) ==
         0)
@@ -180,14 +181,14 @@
 // The next incarnation under the id receives a stop for every start that may
 // still arrive late, as soon as it listens and before it can get any orders, so
 // that it refuses these starts.
-void WorkerAgent::resolveUnansweredStarts(const WorkerLife &ended) {
+void WorkerAgent::resolveUnansweredStarts(const WorkerIncarnation &ended) {
   if (ended.BornMs == 0)
     Unanswered.clear();
   for (const endpoints::RunId &run : Unanswered.unresolvedRuns(Loop.now()))
     resolveUnansweredStart(ended, run);
 }
 
-void WorkerAgent::resolveUnansweredStart(const WorkerLife &ended,
+void WorkerAgent::resolveUnansweredStart(const WorkerIncarnation &ended,
                                          const endpoints::RunId &run) {
   if (!Unanswered.isUnresolved(run, Loop.now()))
     return;
@@ -195,7 +196,7 @@
   Worker.Stop(call, [this, alive = Alive, ended, run](const CallOutcome &o) {
     if (!*alive)
       return;
-    if (o.Status == CallStatus::OtherLife)
+    if (o.Status == CallStatus::OtherIncarnation)
       Unanswered.clear();
     if (o.Status == CallStatus::Ok)
       Unanswered.markResolved(run);
@@ -206,7 +207,7 @@
   });
 }
 
-void WorkerAgent::recordIncarnationEnd(LifeEnd end) {
+void WorkerAgent::recordIncarnationEnd(IncarnationEnd end) {
   if (hasEnded(end.Life))
     return;
   EndedIncarnations.push_back(std::move(end));
@@ -216,23 +217,24 @@
   EndedIncarnations.erase(EndedIncarnations.begin());
 }
 
-bool WorkerAgent::hasEnded(const WorkerLife &incarnation) const {
+bool WorkerAgent::hasEnded(const WorkerIncarnation &incarnation) const {
   return std::any_of(
       EndedIncarnations.begin(), EndedIncarnations.end(),
-      [&](const LifeEnd &end) { return end.Life == incarnation; });
+      [&](const IncarnationEnd &end) { return end.Life == incarnation; });
 }
 
 // Removes the record of an incarnation that counted as ended, but turned out to
 // be still running.
-void WorkerAgent::removeIncarnationEnd(const WorkerLife &incarnation) {
+void WorkerAgent::removeIncarnationEnd(const WorkerIncarnation &incarnation) {
   IgnoredIncarnations.erase(incarnation);
-  std::erase_if(EndedIncarnations,
-                [&](const LifeEnd &end) { return end.Life == incarnation; });
+  std::erase_if(EndedIncarnations, [&](const IncarnationEnd &end) {
+    return end.Life == incarnation;
+  });
 }
 
 // A worker that deregisters without its start time has announced before that it
 // drains. If the served incarnation does not drain, it is a later one.
-void WorkerAgent::onLeave(const WorkerLife &incarnation) {
+void WorkerAgent::onDeregister(const WorkerIncarnation &incarnation) {
   const bool anyIncarnation =
       incarnation.BornMs == 0 && incarnation.Id == State.Life.Id;
   if (incarnation == State.Life || (anyIncarnation && State.Draining))
--- a/src/libs/agent/workeragent_orders.cpp
+++ b/src/libs/agent/workeragent_orders.cpp
@@ -38,7 +38,7 @@
 struct WorkerAgent::Order {
   endpoints::StartOrder Start;
   endpoints::StopOrder Stop;
-  endpoints::WorkerLife Life;
+  endpoints::WorkerIncarnation Life;
   /// Epoch of the leader that gave the order. Every attempt carries this epoch,
   /// never a newer one.
   int64_t Epoch = 0;
@@ -112,7 +112,7 @@
             {"outcome", endpoints::orderOutcomeName(outcome)},
             {"why", detail}});
   if (outcome != OrderOutcome::Started && outcome != OrderOutcome::Unconfirmed)
-    SentStarts.neverBegan({run.first, run.second});
+    SentStarts.recordNotStarted({run.first, run.second});
   if (NotifyOrderCompleted)
     NotifyOrderCompleted(result);
   if (CompletedOrders.emplace(run, result).second)
@@ -144,7 +144,7 @@
     StartsInProgress.erase(key);
     completeOrder(key,
                   order->PossiblyDelivered ? OrderOutcome::Unconfirmed
-                                           : OrderOutcome::NoRoom,
+                                           : OrderOutcome::NoCapacity,
                   "its capacity has shrunk");
     return;
   }
@@ -167,7 +167,7 @@
   call.Epoch = order->Epoch;
   call.FreshConnection = order->Attempts > 0;
   ++order->Attempts;
-  SentStarts.sent({key.first, key.second}, Loop.now());
+  SentStarts.recordSent({key.first, key.second}, Loop.now());
   Worker.Start(call, [this, alive = Alive, order](const CallOutcome &outcome) {
     if (*alive && order->Life == State.Life)
       onStarted(order, outcome);
@@ -188,15 +188,15 @@
   };
   switch (outcome.Status) {
   case CallStatus::Ok:
-    SentStarts.taken({key.first, key.second});
+    SentStarts.recordAccepted({key.first, key.second});
     return end(OrderOutcome::Started);
-  case CallStatus::OtherLife:
+  case CallStatus::OtherIncarnation:
     return end(OrderOutcome::Gone);
   case CallStatus::Busy:
     return end(OrderOutcome::Busy);
   case CallStatus::Refused:
-    if (outcome.Reason == RefusalReason::NoRoom)
-      return end(OrderOutcome::NoRoom);
+    if (outcome.Reason == RefusalReason::NoCapacity)
+      return end(OrderOutcome::NoCapacity);
     if (outcome.Reason == RefusalReason::Fenced)
       return end(OrderOutcome::Fenced);
     return end(OrderOutcome::Refused);
@@ -205,9 +205,9 @@
     Unanswered.recordAttempt({key.first, key.second}, Loop.now());
     break;
   case CallStatus::NotSent:
-  case CallStatus::NotThere:
+  case CallStatus::NotListening:
     if (!order->PossiblyDelivered)
-      SentStarts.neverBegan({key.first, key.second});
+      SentStarts.recordNotStarted({key.first, key.second});
     break;
   }
   if (order->Attempts >= MaxStartAttempts)
@@ -246,11 +246,11 @@
     sendKeepAlive(0);
     return;
   }
-  if (outcome.Status == CallStatus::OtherLife ||
+  if (outcome.Status == CallStatus::OtherIncarnation ||
       outcome.Status == CallStatus::Refused ||
       order->Attempts >= MaxStopAttempts) {
     StopsInProgress.erase(key);
-    if (outcome.Status == CallStatus::OtherLife)
+    if (outcome.Status == CallStatus::OtherIncarnation)
       completeOrder(key, OrderOutcome::Gone, outcome.Detail);
     return;
   }
--- a/src/libs/endpoints/messages.cpp
+++ b/src/libs/endpoints/messages.cpp
@@ -39,21 +39,21 @@
                               {OrderOutcome::Refused, "refused"},
                               {OrderOutcome::Busy, "busy"},
                               {OrderOutcome::Gone, "gone"},
-                              {OrderOutcome::NoRoom, "no_room"},
+                              {OrderOutcome::NoCapacity, "no_room"},
                               {OrderOutcome::Fenced, "fenced"},
                               {OrderOutcome::Unconfirmed, "unconfirmed"},
                               {OrderOutcome::Absent, "absent"}})
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(RunningTask, Task, Run, Saved, Percent)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(EndedTask, Number, Task, Run, How, Saved)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(OrderResult, Task, Run, Outcome, Detail)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(WorkerLife, Id, BornMs)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(WorkerIncarnation, Id, BornMs)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(WorkerState, Life, Service, FailureDomain,
                                    Rack, Labels, Capacity, Draining,
                                    RemainingMs, ColdMs)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(LearnedSpeed, Log, Ends)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(RunId, Task, Run)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(LifeEnd, Life, Crashed, JustBegun, Witnessed,
-                                   MayStillBegin)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(IncarnationEnd, Life, Crashed, JustBegun,
+                                   Witnessed, MayStillBegin)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(WorkerReport, Agent, AgentAddress, Worker,
                                    EndedLives, Sequence, Reachable, Epoch,
                                    ListedMsAgo, Speed, Running, Ended, Results)
@@ -100,7 +100,7 @@
     return "busy";
   case OrderOutcome::Gone:
     return "gone";
-  case OrderOutcome::NoRoom:
+  case OrderOutcome::NoCapacity:
     return "no_room";
   case OrderOutcome::Fenced:
     return "fenced";
--- a/src/libs/endpoints/messages.h
+++ b/src/libs/endpoints/messages.h
@@ -6,7 +6,7 @@
 #include "core/siteconfig.h"
 #include "core/workerinfo.h"
 #include "utils/error.h"
-#include "workerlife.h"
+#include "workerincarnation.h"
 
 #include <absl/time/time.h>
 
@@ -180,8 +180,8 @@
 
 /// Outcome of an order. Started: the worker has the run. Refused: the worker
 /// does not have the run and will not start it. Busy: the worker is unhealthy
-/// and did nothing. Gone: that incarnation of the worker has ended. NoRoom: the
-/// worker has not enough free capacity. Fenced: a newer leader has given
+/// and did nothing. Gone: that incarnation of the worker has ended. NoCapacity:
+/// the worker has not enough free capacity. Fenced: a newer leader has given
 /// orders. Unconfirmed: the worker may have the run or may still start it.
 /// Absent: a stop found no such run, and the run can no longer start.
 enum class OrderOutcome {
@@ -189,7 +189,7 @@
   Refused,
   Busy,
   Gone,
-  NoRoom,
+  NoCapacity,
   Fenced,
   Unconfirmed,
   Absent
@@ -209,7 +209,7 @@
 
 /// State of a worker, as its agent knows it.
 struct WorkerState {
-  WorkerLife Life;
+  WorkerIncarnation Life;
   std::string Service;
   std::string FailureDomain;
   std::string Rack;
@@ -235,28 +235,28 @@
 
 /// A run that crashes its worker does so within this time after its start. A
 /// worker that still runs after this time was not crashed by the run.
-constexpr absl::Duration CrashShowsWithin = absl::Milliseconds(500);
+constexpr absl::Duration CrashDetectionWindow = absl::Milliseconds(500);
 
 /// Time within which a worker carries out an order that got no answer, if it
 /// does so at all.
-constexpr absl::Duration LateOrdersWithin = absl::Seconds(15);
+constexpr absl::Duration MaxOrderDelay = absl::Seconds(15);
 
 /// The end of a worker incarnation. Crashed: it ended without notice, and no
 /// shutdown was planned. JustBegun: the runs that may have crashed it, because
-/// they started, or may have started, less than CrashShowsWithin before it
+/// they started, or may have started, less than CrashDetectionWindow before it
 /// stopped answering.
 /// Witnessed: the agent served that incarnation and knows which orders it sent;
 /// else the agent has only learned that the incarnation has ended.
 /// MayStillBegin: starts that the next incarnation under the same id may still
 /// carry out, because this incarnation never listed them or an attempt got no
 /// answer.
-struct LifeEnd {
-  WorkerLife Life;
+struct IncarnationEnd {
+  WorkerIncarnation Life;
   bool Crashed = false;
   std::vector<RunId> JustBegun = {};
   bool Witnessed = false;
   std::vector<RunId> MayStillBegin = {};
-  auto operator<=>(const LifeEnd &) const = default;
+  auto operator<=>(const IncarnationEnd &) const = default;
 };
 
 /// Agent to the leading entry, periodically and immediately after changes: the
@@ -268,7 +268,7 @@
   std::string Agent;
   std::string AgentAddress;
   WorkerState Worker;
-  std::vector<LifeEnd> EndedLives;
+  std::vector<IncarnationEnd> EndedLives;
   /// Grows with each report of this incarnation, also across restarts of the
   /// agent.
   int64_t Sequence = 0;
@@ -331,7 +331,7 @@
 /// acknowledges them immediately and sends the outcome of each in a report.
 struct WorkerOrders {
   int64_t Epoch = 0;
-  WorkerLife Life;
+  WorkerIncarnation Life;
   std::vector<StartOrder> Starts;
   std::vector<StopOrder> Stops;
   auto operator<=>(const WorkerOrders &) const = default;
--- a/src/libs/endpoints/workercalls.h
+++ b/src/libs/endpoints/workercalls.h
@@ -26,17 +26,24 @@
   /// The worker is unhealthy and did nothing.
   Busy,
   /// Another incarnation of the worker answered.
-  OtherLife,
+  OtherIncarnation,
   /// No byte of the call was sent, so nothing was done.
   NotSent,
   /// Nothing listens at the worker's address, so its process has ended.
-  NotThere,
+  NotListening,
   /// No answer: the worker may have carried out the call, or may still do so.
   NoAnswer,
 };
 
 /// Reason that a worker gives for the refusal of a call.
-enum class RefusalReason { None, Fenced, OldRun, TooLate, NoRoom, Ticket };
+enum class RefusalReason {
+  None,
+  Fenced,
+  StaleRun,
+  TooLate,
+  NoCapacity,
+  Ticket
+};
 
 /// Outcome of a call, with the worker's clock if it answered.
 struct CallOutcome {
@@ -52,7 +59,7 @@
 /// Starts a run. UntilMs is a time on the worker's clock: all runs of the
 /// worker end then unless they are kept alive longer.
 struct StartCall {
-  WorkerLife Life;
+  WorkerIncarnation Life;
   StartOrder Order;
   int64_t UntilMs = 0;
   int64_t Epoch = 0;
@@ -60,7 +67,7 @@
 };
 
 struct StopCall {
-  WorkerLife Life;
+  WorkerIncarnation Life;
   StopOrder Order;
   int64_t Epoch = 0;
   bool FreshConnection = false;
@@ -69,15 +76,15 @@
 /// Keeps the tasks of the worker alive until UntilMs and lists them. If UntilMs
 /// is zero, the call only lists them. The worker delays the answer by up to
 /// WaitMs until a run ends. It forgets the ends up to number SeenUpto.
-struct HoldCall {
-  WorkerLife Life;
+struct KeepAliveCall {
+  WorkerIncarnation Life;
   int64_t UntilMs = 0;
   int64_t Epoch = 0;
   int64_t SeenUpto = 0;
   int64_t WaitMs = 0;
 };
 
-struct HoldReply {
+struct KeepAliveReply {
   CallOutcome Outcome;
   std::vector<RunningTask> Running;
   std::vector<EndedTask> Ended;
@@ -89,7 +96,9 @@
   std::function<void(const StartCall &, std::function<void(CallOutcome)>)>
       Start;
   std::function<void(const StopCall &, std::function<void(CallOutcome)>)> Stop;
-  std::function<void(const HoldCall &, std::function<void(HoldReply)>)> Hold;
+  std::function<void(const KeepAliveCall &,
+                     std::function<void(KeepAliveReply)>)>
+      KeepAlive;
 };
 
 } // namespace oriolebay::endpoints
--- a/src/libs/endpoints/workerlife.h
+++ b/src/libs/endpoints/workerincarnation.h
@@ -12,18 +12,18 @@
 /// state. BornMs, the time of day of the start in milliseconds since 1970,
 /// distinguishes the incarnations. It does not order them, because clocks can
 /// be set back. Zero if unknown.
-struct WorkerLife {
+struct WorkerIncarnation {
   std::string Id;
   int64_t BornMs = 0;
 
   bool empty() const { return Id.empty(); }
   /// Returns the same worker id without a start time, which stands for any
   /// incarnation under that id.
-  WorkerLife ofAnyBirth() const { return {Id, 0}; }
-  auto operator<=>(const WorkerLife &) const = default;
+  WorkerIncarnation withoutStartTime() const { return {Id, 0}; }
+  auto operator<=>(const WorkerIncarnation &) const = default;
   template <class H>
   // NOLINTNEXTLINE(readability-identifier-naming): Abseil's name for it.
-  friend H AbslHashValue(H h, const WorkerLife &incarnation) {
+  friend H AbslHashValue(H h, const WorkerIncarnation &incarnation) {
     return H::combine(std::move(h), incarnation.Id, incarnation.BornMs);
   }
 };
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -183,7 +183,7 @@
   // During an outage of the store a leader that was replaced may not know it.
   // Beyond this time limit it lets the leases of its agents expire. The next
   // leader waits for the same time for workers that have not reported to it.
-  const bool leadConfirmed = steadyNow() - Election->confirmed() <
+  const bool leadConfirmed = steadyNow() - Election->confirmedAt() <
                              absl::Milliseconds(Settings.OutageHoldMs);
   if (epoch == 0 || !leadConfirmed || Stopping) {
     ack.Ok = false;
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -55,7 +55,7 @@
                      {{"why", why}});
           },
           Observers.StoreCalled),
-      Calls(Health.watching(store)) {
+      Calls(Health.monitored(store)) {
   Peers.Serve([this, alive = Alive](const Message &m, const auto &respond) {
     const auto *call = std::get_if<endpoints::ForwardedCall>(&m);
     if (!*alive)
@@ -67,7 +67,7 @@
   });
   platform::FollowTiming follow;
   platform::FollowTiming pacedFollow;
-  pacedFollow.RestAfterNews = [this] {
+  pacedFollow.DelayAfterChanges = [this] {
     return Leader.Mine ? LeaderViewUpdatePause : ViewUpdatePause;
   };
   auto storeErrorLogger = [this](const char *what) {
@@ -135,7 +135,7 @@
   election.EntryPrefix = EntryPrefix;
   election.Name = Settings.Name;
   election.Entry = {Peers.Address, Settings.ProcessorShare};
-  election.LargerIsKnown = [this] {
+  election.IsLargerEntryKnown = [this] {
     return LargestProcessorShare > Settings.ProcessorShare;
   };
   election.LeaseTtl = Time.LeaderLease;
@@ -278,7 +278,7 @@
   options.Policy.WallMs = [] { return absl::ToUnixMillis(utils::wallNow()); };
   Session = std::make_unique<LeaderSession>(
       Loop, Calls, Peers, *View, options, leadership.Epoch,
-      [this] { return Election->confirmed(); },
+      [this] { return Election->confirmedAt(); },
       [this](const jobs::Decision &d) {
         logDecision(d);
         if (Observers.Decided)
@@ -292,7 +292,7 @@
         // The watch reports the same record, but can be delayed for seconds
         // while the store drops its history. Until then the entry that has
         // recorded the end of a job would show the job as running.
-        View->learnProgress(write.JobId, write.Progress, revision);
+        View->applyWrittenProgress(write.JobId, write.Progress, revision);
       },
       [this] {
         logEvent(Event::LeaderLost, {{"why", "another entry leads"}});
@@ -448,7 +448,7 @@
     return ack;
   }
   if (const auto *written = std::get_if<endpoints::JobWritten>(&message)) {
-    View->learn({written->Key, written->Value, 0, written->Revision, 0});
+    View->applyItem({written->Key, written->Value, 0, written->Revision, 0});
     return endpoints::Ack{};
   }
   if (const auto *stepDown = std::get_if<endpoints::StandDown>(&message))
--- a/src/libs/jobs/fleet.cpp
+++ b/src/libs/jobs/fleet.cpp
@@ -6,14 +6,14 @@
 
 // An agent that has just started has not received a heartbeat of its worker
 // yet. Its report then says nothing about an incarnation that was known before.
-std::optional<endpoints::LifeEnd>
+std::optional<endpoints::IncarnationEnd>
 findIncarnationEnd(const endpoints::WorkerReport &report,
-                   const WorkerLife &incarnation) {
-  for (const endpoints::LifeEnd &end : report.EndedLives)
+                   const WorkerIncarnation &incarnation) {
+  for (const endpoints::IncarnationEnd &end : report.EndedLives)
     if (end.Life == incarnation)
       return end;
   if (!report.Worker.Life.empty() && report.Worker.Life != incarnation)
-    return endpoints::LifeEnd{incarnation};
+    return endpoints::IncarnationEnd{incarnation};
   return std::nullopt;
 }
 
@@ -23,14 +23,14 @@
          report.Sequence < it->second.Sequence;
 }
 
-std::vector<endpoints::LifeEnd>
+std::vector<endpoints::IncarnationEnd>
 Fleet::applyReport(const endpoints::WorkerReport &report, absl::Time now) {
-  std::vector<endpoints::LifeEnd> ended;
+  std::vector<endpoints::IncarnationEnd> ended;
   for (const auto &[incarnation, worker] : Workers)
     if (worker.Agent == report.Agent)
       if (const auto end = findIncarnationEnd(report, incarnation))
         ended.push_back(*end);
-  for (const endpoints::LifeEnd &end : ended) {
+  for (const endpoints::IncarnationEnd &end : ended) {
     Workers.erase(end.Life);
     ReportedEnds[report.Agent] = {end.Life, report.Sequence};
   }
@@ -54,22 +54,22 @@
   return ended;
 }
 
-std::vector<WorkerLife> Fleet::takeLost(absl::Time now) {
-  std::vector<WorkerLife> lost;
+std::vector<WorkerIncarnation> Fleet::takeLost(absl::Time now) {
+  std::vector<WorkerIncarnation> lost;
   for (const auto &[incarnation, worker] : Workers)
     if (worker.LostAt <= now)
       lost.push_back(incarnation);
-  for (const WorkerLife &incarnation : lost)
+  for (const WorkerIncarnation &incarnation : lost)
     Workers.erase(incarnation);
   return lost;
 }
 
-WorkerView *Fleet::find(const WorkerLife &incarnation) {
+WorkerView *Fleet::find(const WorkerIncarnation &incarnation) {
   auto it = Workers.find(incarnation);
   return it == Workers.end() ? nullptr : &it->second;
 }
 
-const WorkerView *Fleet::find(const WorkerLife &incarnation) const {
+const WorkerView *Fleet::find(const WorkerIncarnation &incarnation) const {
   auto it = Workers.find(incarnation);
   return it == Workers.end() ? nullptr : &it->second;
 }
@@ -88,7 +88,8 @@
          now >= worker.QuarantinedUntil;
 }
 
-bool Fleet::recordEnd(const WorkerLife &incarnation, bool ok, absl::Time now) {
+bool Fleet::recordEnd(const WorkerIncarnation &incarnation, bool ok,
+                      absl::Time now) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return false;
@@ -103,7 +104,7 @@
   return quarantine(incarnation, now);
 }
 
-bool Fleet::quarantine(const WorkerLife &incarnation, absl::Time now) {
+bool Fleet::quarantine(const WorkerIncarnation &incarnation, absl::Time now) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr || now < worker->QuarantinedUntil)
     return false;
@@ -115,14 +116,14 @@
   return true;
 }
 
-void Fleet::allocate(const WorkerLife &incarnation, const RunId &run,
+void Fleet::allocate(const WorkerIncarnation &incarnation, const RunId &run,
                      const core::Resources &resources) {
   WorkerView *worker = find(incarnation);
   if (worker != nullptr && worker->Allocations.emplace(run, resources).second)
     worker->Used += resources;
 }
 
-void Fleet::release(const WorkerLife &incarnation, const RunId &run) {
+void Fleet::release(const WorkerIncarnation &incarnation, const RunId &run) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
@@ -133,14 +134,15 @@
   worker->Allocations.erase(it);
 }
 
-bool Fleet::registerEnd(const WorkerLife &incarnation, int64_t number) {
+bool Fleet::registerEnd(const WorkerIncarnation &incarnation, int64_t number) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr || number <= worker->SeenUpto)
     return false;
   return worker->RunEnds.emplace(number, false).second;
 }
 
-void Fleet::markEndRecorded(const WorkerLife &incarnation, int64_t number) {
+void Fleet::markEndRecorded(const WorkerIncarnation &incarnation,
+                            int64_t number) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
--- a/src/libs/jobs/fleet.h
+++ b/src/libs/jobs/fleet.h
@@ -14,7 +14,7 @@
 namespace oriolebay::jobs {
 
 using endpoints::RunId;
-using endpoints::WorkerLife;
+using endpoints::WorkerIncarnation;
 
 /// Limits that decide which workers are used.
 struct FleetPolicy {
@@ -72,9 +72,9 @@
 
 /// How this incarnation of a worker ended according to a report of the agent
 /// beside it. Returns nothing if the report does not say that it has ended.
-std::optional<endpoints::LifeEnd>
+std::optional<endpoints::IncarnationEnd>
 findIncarnationEnd(const endpoints::WorkerReport &report,
-                   const WorkerLife &incarnation);
+                   const WorkerIncarnation &incarnation);
 
 /// The workers that report to the leader, their resources and whether new tasks
 /// may be placed on them. Uses no threads, clock or sockets.
@@ -88,15 +88,17 @@
   /// Applies the state of the worker in a report. Returns the incarnations that
   /// the report ended: a new incarnation of the worker beside the same agent
   /// means that nothing of the old one runs any more.
-  std::vector<endpoints::LifeEnd>
+  std::vector<endpoints::IncarnationEnd>
   applyReport(const endpoints::WorkerReport &report, absl::Time now);
   /// Removes and returns the incarnations whose tasks have certainly ended
   /// because no grant keeps them alive any more.
-  std::vector<WorkerLife> takeLost(absl::Time now);
+  std::vector<WorkerIncarnation> takeLost(absl::Time now);
 
-  WorkerView *find(const WorkerLife &incarnation);
-  const WorkerView *find(const WorkerLife &incarnation) const;
-  const std::map<WorkerLife, WorkerView> &workers() const { return Workers; }
+  WorkerView *find(const WorkerIncarnation &incarnation);
+  const WorkerView *find(const WorkerIncarnation &incarnation) const;
+  const std::map<WorkerIncarnation, WorkerView> &workers() const {
+    return Workers;
+  }
   /// Total capacity of all known workers of the service.
   core::Resources capacityOf(const std::string &service) const;
 
@@ -104,28 +106,28 @@
   bool isUsable(const WorkerView &worker, absl::Time now) const;
   /// Quarantines the worker, for longer each time. Returns false if it is
   /// already quarantined.
-  bool quarantine(const WorkerLife &incarnation, absl::Time now);
+  bool quarantine(const WorkerIncarnation &incarnation, absl::Time now);
   /// Counts the end of a run, to quarantine workers that fail the tasks started
   /// on them. Returns true if the worker is quarantined from now on.
-  bool recordEnd(const WorkerLife &incarnation, bool ok, absl::Time now);
+  bool recordEnd(const WorkerIncarnation &incarnation, bool ok, absl::Time now);
 
-  void allocate(const WorkerLife &incarnation, const RunId &run,
+  void allocate(const WorkerIncarnation &incarnation, const RunId &run,
                 const core::Resources &resources);
-  void release(const WorkerLife &incarnation, const RunId &run);
+  void release(const WorkerIncarnation &incarnation, const RunId &run);
 
   /// Registers an end that the worker has listed. Returns false if it was
   /// listed before.
-  bool registerEnd(const WorkerLife &incarnation, int64_t number);
+  bool registerEnd(const WorkerIncarnation &incarnation, int64_t number);
   /// Marks an end as recorded, or as not needing a record.
-  void markEndRecorded(const WorkerLife &incarnation, int64_t number);
+  void markEndRecorded(const WorkerIncarnation &incarnation, int64_t number);
 
 private:
   const FleetPolicy Policy;
-  std::map<WorkerLife, WorkerView> Workers;
+  std::map<WorkerIncarnation, WorkerView> Workers;
   /// The latest ended incarnation of the worker beside an agent, and the
   /// sequence number of the report that said so.
   struct ReportedEnd {
-    WorkerLife Life;
+    WorkerIncarnation Life;
     int64_t Sequence = 0;
   };
   std::map<std::string, ReportedEnd> ReportedEnds;
--- a/src/libs/jobs/jobrecord.h
+++ b/src/libs/jobs/jobrecord.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/jobspec.h"
-#include "endpoints/workerlife.h"
+#include "endpoints/workerincarnation.h"
 #include "utils/error.h"
 
 #include <compare>
@@ -49,7 +49,7 @@
   int64_t Run = 0;
   int Failed = 0;
   bool Done = false;
-  endpoints::WorkerLife Worker;
+  endpoints::WorkerIncarnation Worker;
   std::string Agent;
   std::string Saved;
   std::vector<std::string> CrashedAt = {};
--- a/src/libs/jobs/jobscheduler.cpp
+++ b/src/libs/jobs/jobscheduler.cpp
@@ -34,12 +34,12 @@
   return absl::StrCat(id.Job, ".", id.Occurrence, ".", id.Step);
 }
 
-double JobScheduler::slownessOf(const WorkerLife &incarnation) const {
+double JobScheduler::slownessOf(const WorkerIncarnation &incarnation) const {
   const WorkerView *worker = Workers.find(incarnation);
   return worker == nullptr ? 1 : Speeds.slowness(worker->Agent);
 }
 
-int64_t JobScheduler::lastReportAgeMs(const WorkerLife &incarnation,
+int64_t JobScheduler::lastReportAgeMs(const WorkerIncarnation &incarnation,
                                       absl::Time now) const {
   const WorkerView *worker = Workers.find(incarnation);
   return worker == nullptr
@@ -241,7 +241,7 @@
 }
 
 void JobScheduler::assignRun(Job &job, const TaskId &id,
-                             const WorkerLife &incarnation,
+                             const WorkerIncarnation &incarnation,
                              const std::string &saved, int64_t run, int rank,
                              absl::Time now) {
   Task &task = *findTask(id);
@@ -308,13 +308,13 @@
 }
 
 void JobScheduler::endUnreportedIncarnations(absl::Time now) {
-  std::vector<WorkerLife> lost;
+  std::vector<WorkerIncarnation> lost;
   for (const auto &[incarnation, unreported] : UnreportedIncarnations)
     if (now >= (unreported.TasksEndedBy == absl::InfiniteFuture()
                     ? UnreportedLostAt
                     : unreported.TasksEndedBy))
       lost.push_back(incarnation);
-  for (const WorkerLife &incarnation : lost) {
+  for (const WorkerIncarnation &incarnation : lost) {
     UnreportedIncarnations.erase(incarnation);
     handleIncarnationEnd({incarnation},
                          "the worker never reported to this leader", nullptr,
@@ -325,7 +325,7 @@
 void JobScheduler::tick(absl::Time now) {
   PassNeeded |= RetryOnTick;
   RunMonitor(*this, now).checkRuns();
-  for (const WorkerLife &incarnation : Workers.takeLost(now))
+  for (const WorkerIncarnation &incarnation : Workers.takeLost(now))
     handleIncarnationEnd(
         {incarnation},
         "the worker was unresponsive until its tasks had certainly ended",
--- a/src/libs/jobs/jobscheduler.h
+++ b/src/libs/jobs/jobscheduler.h
@@ -247,17 +247,17 @@
     absl::Duration RunDuration = absl::ZeroDuration();
     /// How often the task was moved because it was too slow.
     int Moves = 0;
-    std::set<WorkerLife> FailedOn;
+    std::set<WorkerIncarnation> FailedOn;
 
     /// A worker may be running the task.
     bool isAssigned() const { return !Progress.Worker.empty(); }
     /// The task may have crashed a worker.
     bool isSuspect() const { return !Progress.CrashedAt.empty(); }
-    /// The worker has survived the start of the run by CrashShowsWithin, so
+    /// The worker has survived the start of the run by CrashDetectionWindow, so
     /// that the run is not one that crashes workers.
     bool hasOutlivedCrashWindow() const {
       return RunPhase == Phase::Running &&
-             PercentReportedAt - StartedAt >= endpoints::CrashShowsWithin;
+             PercentReportedAt - StartedAt >= endpoints::CrashDetectionWindow;
     }
   };
   using Step = std::vector<Task>;
@@ -279,7 +279,7 @@
     /// been written.
     struct PendingEndAck {
       int64_t Version = 0;
-      WorkerLife Incarnation;
+      WorkerIncarnation Incarnation;
       int64_t Number = 0;
     };
     std::vector<PendingEndAck> PendingEndAcks;
@@ -342,21 +342,21 @@
         }
   }
 
-  void registerIncarnation(const WorkerLife &incarnation);
+  void registerIncarnation(const WorkerIncarnation &incarnation);
   void endUnreportedIncarnations(absl::Time now);
   void endReplacedIncarnations(const endpoints::WorkerReport &report,
                                absl::Time now);
   /// Handles the end of a worker incarnation. Next is the incarnation that the
   /// same report names, possibly empty, or null if the end was concluded from
   /// elapsed time alone.
-  void handleIncarnationEnd(const endpoints::LifeEnd &end,
-                            const std::string &why, const WorkerLife *next,
-                            absl::Time now);
+  void handleIncarnationEnd(const endpoints::IncarnationEnd &end,
+                            const std::string &why,
+                            const WorkerIncarnation *next, absl::Time now);
   bool canStillStart(const core::TaskId &id, const Task &task,
-                     const endpoints::LifeEnd &end, const WorkerLife *next,
-                     absl::Time now) const;
+                     const endpoints::IncarnationEnd &end,
+                     const WorkerIncarnation *next, absl::Time now) const;
   void resolveAtNextIncarnation(Job &job, const core::TaskId &id, Task &task,
-                                const WorkerLife &next, absl::Time now);
+                                const WorkerIncarnation &next, absl::Time now);
   void recordCrash(Job &job, const core::TaskId &id, Task &task);
   void clearSuspectIfOutlived(Job &job, const core::TaskId &id, Task &task);
   bool hasCrashedTooOften(const Task &task) const;
@@ -365,20 +365,21 @@
                           absl::Time now);
   void resolveUnlistedRuns(const endpoints::WorkerReport &report,
                            absl::Time now);
-  void handleTaskEnd(const WorkerLife &incarnation,
+  void handleTaskEnd(const WorkerIncarnation &incarnation,
                      const endpoints::EndedTask &end, absl::Time now);
-  void handleOrderResult(const WorkerLife &incarnation,
+  void handleOrderResult(const WorkerIncarnation &incarnation,
                          const endpoints::OrderResult &result, absl::Time now);
   static std::string stepName(const core::TaskId &id);
   /// Factor by which work takes longer at the worker than at the median one; 1
   /// if unknown.
-  double slownessOf(const WorkerLife &incarnation) const;
+  double slownessOf(const WorkerIncarnation &incarnation) const;
   void learnTaskDuration(const Job &job, const core::TaskId &id, Task &task,
                          absl::Time now);
-  void acknowledgeEnd(Job &job, const WorkerLife &incarnation, int64_t number);
+  void acknowledgeEnd(Job &job, const WorkerIncarnation &incarnation,
+                      int64_t number);
   void handleRunEnd(Job &job, const core::TaskId &id, Task &task,
                     endpoints::RunEnd how, const std::string &saved,
-                    const WorkerLife &incarnation, absl::Time now);
+                    const WorkerIncarnation &incarnation, absl::Time now);
   void unassign(Job &job, const core::TaskId &id, Task &task);
   void compareSpeedByProgress(const core::TaskId &id, Task &task);
   void compareSpeed(const Job &job, const core::TaskId &id, Task &task,
@@ -404,7 +405,7 @@
   /// Assigns the task's next run to the worker. The start is ordered once it is
   /// recorded.
   void assignRun(Job &job, const core::TaskId &id,
-                 const WorkerLife &incarnation, const std::string &saved,
+                 const WorkerIncarnation &incarnation, const std::string &saved,
                  int64_t run, int rank, absl::Time now);
   /// Adds a decision for the log.
   void logDecision(Decision::Kind kind, const std::string &job,
@@ -412,7 +413,8 @@
                    const std::string &worker = "", const std::string &why = "",
                    std::vector<DecisionInput> inputs = {});
   /// Time since the worker's latest report in milliseconds; -1 if unknown.
-  int64_t lastReportAgeMs(const WorkerLife &incarnation, absl::Time now) const;
+  int64_t lastReportAgeMs(const WorkerIncarnation &incarnation,
+                          absl::Time now) const;
 
   const SchedulerPolicy Policy;
   const int64_t Epoch;
@@ -434,7 +436,7 @@
     /// applies.
     absl::Time TasksEndedBy = absl::InfiniteFuture();
   };
-  std::map<WorkerLife, UnreportedIncarnation> UnreportedIncarnations;
+  std::map<WorkerIncarnation, UnreportedIncarnation> UnreportedIncarnations;
   /// Time of the latest crash of the worker, by agent.
   std::map<std::string, absl::Time> LastCrashes;
   /// Something has changed since the last pass that may let a task start.
--- a/src/libs/jobs/jobscheduler_incarnations.cpp
+++ b/src/libs/jobs/jobscheduler_incarnations.cpp
@@ -14,8 +14,9 @@
 // seen to have arrived there may still be under way, and names only the
 // worker's id.
 bool JobScheduler::canStillStart(const TaskId &id, const Task &task,
-                                 const endpoints::LifeEnd &end,
-                                 const WorkerLife *next, absl::Time now) const {
+                                 const endpoints::IncarnationEnd &end,
+                                 const WorkerIncarnation *next,
+                                 absl::Time now) const {
   if (next == nullptr || task.RunPhase == Phase::Recording)
     return false;
   if (!next->empty() && next->Id != end.Life.Id)
@@ -37,12 +38,13 @@
 // received that order it has either listed the run or will refuse it. Until
 // then the task is not started on any other worker.
 void JobScheduler::resolveAtNextIncarnation(Job &job, const TaskId &id,
-                                            Task &task, const WorkerLife &next,
+                                            Task &task,
+                                            const WorkerIncarnation &next,
                                             absl::Time now) {
   if (task.MayStartUntil == absl::InfinitePast())
-    task.MayStartUntil = now + endpoints::LateOrdersWithin;
-  const WorkerLife previous = task.Progress.Worker;
-  task.Progress.Worker = next.empty() ? previous.ofAnyBirth() : next;
+    task.MayStartUntil = now + endpoints::MaxOrderDelay;
+  const WorkerIncarnation previous = task.Progress.Worker;
+  task.Progress.Worker = next.empty() ? previous.withoutStartTime() : next;
   if (next.empty())
     UnreportedIncarnations[task.Progress.Worker] = {task.Progress.Agent,
                                                     task.MayStartUntil};
--- a/src/libs/jobs/jobscheduler_reports.cpp
+++ b/src/libs/jobs/jobscheduler_reports.cpp
@@ -19,7 +19,7 @@
 
 int64_t JobScheduler::onReport(const endpoints::WorkerReport &report,
                                absl::Time now) {
-  const WorkerLife &incarnation = report.Worker.Life;
+  const WorkerIncarnation &incarnation = report.Worker.Life;
   const WorkerView *known = Workers.find(incarnation);
   const bool wasUsable = known != nullptr && Workers.isUsable(*known, now);
   const core::Resources previousCapacity =
@@ -29,7 +29,8 @@
     return known->SeenUpto;
   if (Workers.isOutdated(report))
     return 0;
-  for (const endpoints::LifeEnd &end : Workers.applyReport(report, now)) {
+  for (const endpoints::IncarnationEnd &end :
+       Workers.applyReport(report, now)) {
     if (end.Crashed)
       LastCrashes[report.Agent] = now;
     handleIncarnationEnd(end, "the worker's process has ended", &incarnation,
@@ -63,12 +64,12 @@
 // names another incarnation.
 void JobScheduler::endReplacedIncarnations(
     const endpoints::WorkerReport &report, absl::Time now) {
-  std::vector<endpoints::LifeEnd> endedIncarnations;
+  std::vector<endpoints::IncarnationEnd> endedIncarnations;
   for (const auto &[incarnation, unreported] : UnreportedIncarnations)
     if (unreported.Agent == report.Agent)
       if (const auto end = findIncarnationEnd(report, incarnation))
         endedIncarnations.push_back(*end);
-  for (const endpoints::LifeEnd &end : endedIncarnations) {
+  for (const endpoints::IncarnationEnd &end : endedIncarnations) {
     UnreportedIncarnations.erase(end.Life);
     handleIncarnationEnd(end, "the worker's process has ended",
                          &report.Worker.Life, now);
@@ -77,7 +78,7 @@
 
 // Runs that are recorded for the incarnation occupy resources of the worker
 // from its first report on.
-void JobScheduler::registerIncarnation(const WorkerLife &incarnation) {
+void JobScheduler::registerIncarnation(const WorkerIncarnation &incarnation) {
   UnreportedIncarnations.erase(incarnation);
   for (auto &entry : Jobs) {
     Job &job = entry.second;
@@ -90,11 +91,11 @@
   logDecision(Decision::Kind::WorkerJoined, "", "", 0, incarnation.Id);
 }
 
-void JobScheduler::handleIncarnationEnd(const endpoints::LifeEnd &end,
+void JobScheduler::handleIncarnationEnd(const endpoints::IncarnationEnd &end,
                                         const std::string &why,
-                                        const WorkerLife *next,
+                                        const WorkerIncarnation *next,
                                         absl::Time now) {
-  const WorkerLife &incarnation = end.Life;
+  const WorkerIncarnation &incarnation = end.Life;
   logDecision(Decision::Kind::WorkerLost, "", "", 0, incarnation.Id, why,
               {{"elected_ms_ago", absl::ToInt64Milliseconds(now - ElectedAt)},
                {"crashed", end.Crashed ? 1 : 0}});
@@ -182,7 +183,7 @@
   }
 }
 
-void JobScheduler::handleTaskEnd(const WorkerLife &incarnation,
+void JobScheduler::handleTaskEnd(const WorkerIncarnation &incarnation,
                                  const endpoints::EndedTask &end,
                                  absl::Time now) {
   if (!Workers.registerEnd(incarnation, end.Number))
@@ -224,7 +225,8 @@
 // Acknowledges the end of a run once all its consequences are in the store,
 // because the worker forgets acknowledged ends. If the task was already done by
 // the end of another run, that end may not be recorded yet either.
-void JobScheduler::acknowledgeEnd(Job &job, const WorkerLife &incarnation,
+void JobScheduler::acknowledgeEnd(Job &job,
+                                  const WorkerIncarnation &incarnation,
                                   int64_t number) {
   const int64_t version = job.Dirty ? job.Version + 1 : job.Version;
   if (version <= job.WrittenVersion)
@@ -289,7 +291,8 @@
 
 void JobScheduler::handleRunEnd(Job &job, const TaskId &id, Task &task,
                                 RunEnd how, const std::string &saved,
-                                const WorkerLife &incarnation, absl::Time now) {
+                                const WorkerIncarnation &incarnation,
+                                absl::Time now) {
   const core::StepSpec &spec = job.specOf(id);
   if (how == RunEnd::Done && task.Progress.Worker == incarnation)
     learnTaskDuration(job, id, task, now);
@@ -372,7 +375,7 @@
                 tasks[i], why);
 }
 
-void JobScheduler::handleOrderResult(const WorkerLife &incarnation,
+void JobScheduler::handleOrderResult(const WorkerIncarnation &incarnation,
                                      const endpoints::OrderResult &result,
                                      absl::Time now) {
   TaskId id;
@@ -406,7 +409,7 @@
     task->FailedOn.insert(incarnation);
     break;
   case OrderOutcome::Refused:
-  case OrderOutcome::NoRoom:
+  case OrderOutcome::NoCapacity:
   case OrderOutcome::Gone:
   case OrderOutcome::Absent:
     break;
--- a/src/libs/jobs/jobservice.cpp
+++ b/src/libs/jobs/jobservice.cpp
@@ -369,7 +369,7 @@
   if (reply.ok()) {
     const KeyValue item{key, value, reply.Value.Revision, reply.Value.Revision,
                         0};
-    View.learn(item);
+    View.applyItem(item);
     NotifyLeader(item);
     finish(call, CallResult::Ok);
     return;
@@ -383,7 +383,7 @@
     // The id was submitted before, by this call or an earlier one. That is the
     // same job if it is of the same organisation.
     const std::optional<JobRecord> record = tryDecodeRecord(existing->Value);
-    View.learn(*existing);
+    View.applyItem(*existing);
     if (record && record->Spec.Organisation != call->Organisation) {
       finish(call, CallResult::IdTaken, "another job has this id");
       return;
@@ -394,7 +394,7 @@
   }
   if (const KeyValue *config =
           findItem(reply.Value.Current, Config.condition().Key))
-    Config.learn(*config, sentAt);
+    Config.applyItem(*config, sentAt);
   if (isOutOfTime(call)) {
     retryStoreCall(call, StoreStatus::Refused, {});
     return;
@@ -449,7 +449,7 @@
       return;
     if (reply.ok()) {
       const KeyValue item{key, value, 0, reply.Value.Revision, 0};
-      View.learn(item);
+      View.applyItem(item);
       NotifyLeader(item);
       finish(call, CallResult::Ok);
       return;
@@ -462,7 +462,7 @@
     // The record has changed: it was cancelled by another call, or by this one
     // with the store's answer lost.
     if (const KeyValue *current = findItem(reply.Value.Current, key)) {
-      View.learn(*current);
+      View.applyItem(*current);
       NotifyLeader(*current);
       findJobToCancel(call);
       return;
--- a/src/libs/jobs/jobservice_state.cpp
+++ b/src/libs/jobs/jobservice_state.cpp
@@ -40,7 +40,7 @@
       retryStoreCall(call, StoreStatus::Refused, retry);
       return;
     }
-    View.learn(reply.Value);
+    View.applyItem(reply.Value);
     next(call);
   });
 }
@@ -56,7 +56,7 @@
                 return;
               }
               if (reply.ok())
-                View.learn(reply.Value);
+                View.applyItem(reply.Value);
               const StoredJob *job = View.find(call->JobId);
               if (job == nullptr)
                 finish(call, CallResult::NotDone, "the record is unreadable");
--- a/src/libs/jobs/jobview.cpp
+++ b/src/libs/jobs/jobview.cpp
@@ -36,9 +36,9 @@
       }));
 }
 
-void JobView::learnProgress(const std::string &jobId, JobProgress progress,
-                            int64_t revision) {
-  if (Follower.noteKnown(progressKey(jobId), revision))
+void JobView::applyWrittenProgress(const std::string &jobId,
+                                   JobProgress progress, int64_t revision) {
+  if (Follower.markKnown(progressKey(jobId), revision))
     applyProgress(jobId, std::move(progress), revision);
 }
 
--- a/src/libs/jobs/jobview.h
+++ b/src/libs/jobs/jobview.h
@@ -51,10 +51,12 @@
   /// Reads all jobs again; calls OnComplete when done.
   void readAgain() { Follower.readAgain(); }
   /// Applies a job's key that another call has just written or read.
-  void learn(platform::KeyValue item) { Follower.learn(std::move(item)); }
+  void applyItem(platform::KeyValue item) {
+    Follower.applyItem(std::move(item));
+  }
   /// Applies a job's progress that this process has just written.
-  void learnProgress(const std::string &jobId, JobProgress progress,
-                     int64_t revision);
+  void applyWrittenProgress(const std::string &jobId, JobProgress progress,
+                            int64_t revision);
 
   /// All jobs have been read at least once.
   bool isComplete() const { return Complete; }
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -262,7 +262,7 @@
 }
 
 int Planner::countTasksOnWorker(const PlacementUnit &unit,
-                                const WorkerLife &incarnation) const {
+                                const WorkerIncarnation &incarnation) const {
   const JobScheduler::Step &step = unit.step();
   return static_cast<int>(
       std::count_if(step.begin(), step.end(), [&](const Task &t) {
--- a/src/libs/jobs/planner.h
+++ b/src/libs/jobs/planner.h
@@ -72,7 +72,7 @@
     int Rank = 0;
     /// Workers where a task of it failed. Empty when the other workers could
     /// not hold it.
-    std::set<WorkerLife> AvoidWorkers;
+    std::set<WorkerIncarnation> AvoidWorkers;
     /// A task of it may have crashed its worker. It starts only on workers
     /// without a recent start, preferably on an empty one.
     bool HasSuspect = false;
@@ -191,7 +191,7 @@
   int64_t countFitting(size_t candidateIndex, const PlacementUnit &unit,
                        int64_t maxTasks) const;
   int countTasksOnWorker(const PlacementUnit &unit,
-                         const WorkerLife &incarnation) const;
+                         const WorkerIncarnation &incarnation) const;
   const std::vector<TopologyDomain> &
   domainsFor(const PlacementUnit &unit) const;
   bool prefersFastWorkers(const PlacementUnit &unit) const {
@@ -248,7 +248,7 @@
   JobScheduler &Scheduler;
   const absl::Time Now;
   std::vector<Candidate> Candidates;
-  absl::flat_hash_map<WorkerLife, size_t> CandidateOf;
+  absl::flat_hash_map<WorkerIncarnation, size_t> CandidateOf;
   /// The candidates of each rack.
   std::vector<TopologyDomain> RackDomains;
   /// All candidates as the only domain.
--- a/src/libs/jobs/progress.cpp
+++ b/src/libs/jobs/progress.cpp
@@ -5,7 +5,8 @@
 
 namespace oriolebay::jobs {
 
-void ProgressTracker::recordProgress(const RunId &run, const WorkerLife &worker,
+void ProgressTracker::recordProgress(const RunId &run,
+                                     const WorkerIncarnation &worker,
                                      int percent, absl::Duration estimate,
                                      bool resumed, absl::Time now) {
   auto [it, added] = Runs.try_emplace(
@@ -37,7 +38,7 @@
   return tracked.LastReport - tracked.LastIncrease >= timeout;
 }
 
-bool ProgressTracker::isWorkerProgressing(const WorkerLife &worker,
+bool ProgressTracker::isWorkerProgressing(const WorkerIncarnation &worker,
                                           absl::Time now) const {
   return std::any_of(Runs.begin(), Runs.end(), [&](const auto &entry) {
     const TrackedRun &tracked = entry.second;
--- a/src/libs/jobs/progress.h
+++ b/src/libs/jobs/progress.h
@@ -48,8 +48,9 @@
 
   /// Records that a run on worker was reported at percent. Estimate is the
   /// expected duration of the whole run.
-  void recordProgress(const RunId &run, const WorkerLife &worker, int percent,
-                      absl::Duration estimate, bool resumed, absl::Time now);
+  void recordProgress(const RunId &run, const WorkerIncarnation &worker,
+                      int percent, absl::Duration estimate, bool resumed,
+                      absl::Time now);
   void forget(const RunId &run);
 
   /// Whether the percentage of an unfinished run has not increased for too
@@ -58,7 +59,8 @@
   bool isStalled(const RunId &run) const;
   /// Whether the percentage of some run on the worker has increased within
   /// StalledAfter.
-  bool isWorkerProgressing(const WorkerLife &worker, absl::Time now) const;
+  bool isWorkerProgressing(const WorkerIncarnation &worker,
+                           absl::Time now) const;
   /// Bounds on the duration of the whole run at its present rate. Percentages
   /// are whole numbers, so the bounds are wide early in a run. Returns nothing
   /// until progress has been reported for MinRateWindow, and when the run is at
@@ -75,7 +77,7 @@
     int Percent = 0;
   };
   struct TrackedRun {
-    WorkerLife Worker;
+    WorkerIncarnation Worker;
     absl::Duration Estimate;
     bool Resumed = false;
     int FirstPercent = 0;
--- a/src/libs/operators/configfollower.cpp
+++ b/src/libs/operators/configfollower.cpp
@@ -67,7 +67,8 @@
       });
 }
 
-void ConfigFollower::learn(const platform::KeyValue &item, absl::Time sentAt) {
+void ConfigFollower::applyItem(const platform::KeyValue &item,
+                               absl::Time sentAt) {
   applyConfig(item);
   if (item.ModRevision == SeenRevision)
     ConfirmedAt = std::max(ConfirmedAt, sentAt);
@@ -120,7 +121,7 @@
                    if (r.Status == StoreStatus::Conflict) {
                      for (const platform::KeyValue &item : r.Value.Current)
                        if (item.Key == Source.Key)
-                         learn(item, sentAt);
+                         applyItem(item, sentAt);
                      done(true);
                      return;
                    }
--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -89,7 +89,7 @@
   absl::Duration age(absl::Time now) const { return now - ConfirmedAt; }
   /// Applies the configuration's key as returned by another call that was sent
   /// at sentAt.
-  void learn(const platform::KeyValue &item, absl::Time sentAt);
+  void applyItem(const platform::KeyValue &item, absl::Time sentAt);
   /// Confirms the view now and calls done with whether that succeeded. With a
   /// timeoutMs of 0 the store's own timeout applies.
   void confirm(std::function<void(bool)> done, long timeoutMs = 0);
--- a/src/libs/platform/election.cpp
+++ b/src/libs/platform/election.cpp
@@ -180,7 +180,7 @@
 }
 
 bool Election::mustDeferToLargerEntry() {
-  if (!Options.LargerIsKnown())
+  if (!Options.IsLargerEntryKnown())
     return false;
   const absl::Time now = Loop.now();
   if (DeferUntil == absl::InfinitePast()) {
--- a/src/libs/platform/election.h
+++ b/src/libs/platform/election.h
@@ -36,7 +36,7 @@
   /// Returns whether an entry with a larger processor share is known. This
   /// entry then defers to it for the time that the larger entry may need to
   /// detect that its lease has expired.
-  std::function<bool()> LargerIsKnown = [] { return false; };
+  std::function<bool()> IsLargerEntryKnown = [] { return false; };
   /// Time without a renewal after which the store removes the leader's key.
   absl::Duration LeaseTtl = absl::Seconds(2);
   /// Number of renewals per lease time; three can be lost before the lease
@@ -47,9 +47,9 @@
 
 /// Elects one leader among the entries by a lease in the store, on one event
 /// loop. An entry leads while the leader's key is attached to its lease. In an
-/// outage the leader stays leader until it learns otherwise; confirmed() tells
-/// when its leadership was last confirmed, and the store refuses its writes
-/// after it has been replaced.
+/// outage the leader stays leader until it learns otherwise; confirmedAt()
+/// returns when its leadership was last confirmed, and the store refuses its
+/// writes after it has been replaced.
 class Election {
 public:
   using OnChange = std::function<void(const Leadership &)>;
@@ -66,7 +66,7 @@
   const Leadership &leadership() const { return KnownLeadership; }
   /// Returns when the store last confirmed this entry's lease while it led: the
   /// time on the boot clock at which the confirmed call was sent.
-  absl::Time confirmed() const { return ConfirmedAt; }
+  absl::Time confirmedAt() const { return ConfirmedAt; }
   /// Ends the lease and leaves the election. Calls done after the call to the
   /// store has ended, with or without success.
   void resign(std::function<void()> done);
--- a/src/libs/platform/leaderelection.cpp
+++ b/src/libs/platform/leaderelection.cpp
@@ -41,7 +41,7 @@
 
 LeaderElection::~LeaderElection() { stop(); }
 
-absl::Time LeaderElection::confirmed() const {
+absl::Time LeaderElection::confirmedAt() const {
   absl::MutexLock lock(&Mu);
   return ConfirmedAt;
 }
--- a/src/libs/platform/leaderelection.h
+++ b/src/libs/platform/leaderelection.h
@@ -52,7 +52,7 @@
 
   /// Returns when the store last confirmed that this entry leads, on the steady
   /// clock.
-  absl::Time confirmed() const;
+  absl::Time confirmedAt() const;
 
   /// Returns whether another entry is registered and could take over.
   bool othersRegistered();
--- a/src/libs/platform/prefixfollower.cpp
+++ b/src/libs/platform/prefixfollower.cpp
@@ -81,7 +81,7 @@
 
 void PrefixFollower::apply(const StoreEvent &event) {
   if (!event.Deleted) {
-    if (noteKnown(event.Item.Key, event.Item.ModRevision))
+    if (markKnown(event.Item.Key, event.Item.ModRevision))
       NotifyChange(event);
     return;
   }
@@ -92,7 +92,7 @@
   NotifyChange(event);
 }
 
-bool PrefixFollower::noteKnown(const std::string &key, int64_t revision) {
+bool PrefixFollower::markKnown(const std::string &key, int64_t revision) {
   const auto [it, added] = ReportedRevisions.emplace(key, revision);
   if (!added && it->second >= revision)
     return false;
@@ -100,7 +100,9 @@
   return true;
 }
 
-void PrefixFollower::learn(KeyValue item) { apply({std::move(item), false}); }
+void PrefixFollower::applyItem(KeyValue item) {
+  apply({std::move(item), false});
+}
 
 void PrefixFollower::watch(uint64_t round) {
   Calls.Watch(Prefix, SeenRevision,
@@ -144,8 +146,9 @@
 }
 
 void PrefixFollower::watchAfterDelay(uint64_t round) {
-  const absl::Duration delay =
-      Timing.RestAfterNews ? Timing.RestAfterNews() : absl::ZeroDuration();
+  const absl::Duration delay = Timing.DelayAfterChanges
+                                   ? Timing.DelayAfterChanges()
+                                   : absl::ZeroDuration();
   if (delay <= absl::ZeroDuration()) {
     watch(round);
     return;
--- a/src/libs/platform/prefixfollower.h
+++ b/src/libs/platform/prefixfollower.h
@@ -28,7 +28,7 @@
   /// changes in short succession are fetched with one call. Each change wakes
   /// every process that watches: without a delay the number of calls grows with
   /// the number of processes times the number of changes. Empty: no delay.
-  std::function<absl::Duration()> RestAfterNews = {};
+  std::function<absl::Duration()> DelayAfterChanges = {};
 };
 
 /// Follows all keys under a prefix: reads them, then watches for changes. If
@@ -59,11 +59,11 @@
   /// Applies a key that another call returned or wrote, without waiting for the
   /// watch to report it. Only its key, value, revision and lease need to be
   /// set.
-  void learn(KeyValue item);
+  void applyItem(KeyValue item);
   /// Marks this revision of key as known to the caller, so that it is not
   /// reported. Returns false if the same or a newer revision was already
   /// reported.
-  bool noteKnown(const std::string &key, int64_t revision);
+  bool markKnown(const std::string &key, int64_t revision);
   /// Returns the store's revision up to which changes were reported.
   int64_t revision() const { return SeenRevision; }
 
--- a/src/libs/platform/storehealth.cpp
+++ b/src/libs/platform/storehealth.cpp
@@ -31,7 +31,7 @@
   };
 }
 
-Store StoreHealth::watching(const Store &inner) {
+Store StoreHealth::monitored(const Store &inner) {
   Store store;
   store.Get = [this, call = inner.Get](const std::string &key,
                                        OnStoreReply<KeyValue> done) {
--- a/src/libs/platform/storehealth.h
+++ b/src/libs/platform/storehealth.h
@@ -37,7 +37,7 @@
 
   /// Returns a store that forwards to inner and records every outcome here.
   /// Answers that arrive after the destruction of this object are dropped.
-  Store watching(const Store &inner);
+  Store monitored(const Store &inner);
 
   /// Returns the time of the first failure since the last successful call, or
   /// infinite future if there is none.
--- a/tests/auto/adapter/tst_callerform.cpp
+++ b/tests/auto/adapter/tst_calleradapter.cpp
@@ -1,5 +1,5 @@
-#include "callerform.h"
-#include "configform.h"
+#include "calleradapter.h"
+#include "configadapter.h"
 
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
 TEST_P(JobBodies, AreParsedOrRejectedWithARemedy) {
   const bool isAccepted = utils::handle<bool>(
       [&]() -> utils::Result<bool> {
-        BOOST_LEAF_AUTO(spec, readJob(Id, GetParam().Body));
+        BOOST_LEAF_AUTO(spec, parseJob(Id, GetParam().Body));
         EXPECT_EQ(spec.Id, Id);
         return true;
       },
@@ -54,7 +54,7 @@
 TEST(CallerAdapter, ParsesEveryFieldOfAStep) {
   const core::JobSpec spec = utils::handle<core::JobSpec>(
       [&]() -> utils::Result<core::JobSpec> {
-        return readJob(Id, R"({"spec":"x","steps":[{"cpu":1},{"count":3,
+        return parseJob(Id, R"({"spec":"x","steps":[{"cpu":1},{"count":3,
             "cpu":2500,"memMb":512,"gpu":4,"estimateMs":900,"after":[0],
             "savesProgress":true,"gang":true,"sameRack":true,"needs":"a",
             "affinity":"r1-1","antiAffinity":2,"mayMiss":1}]})");
@@ -88,7 +88,7 @@
 TEST_P(Configs, AreParsedOrRejected) {
   const bool isAccepted = utils::handle<bool>(
       [&]() -> utils::Result<bool> {
-        BOOST_LEAF_AUTO(config, readConfig(GetParam().Value));
+        BOOST_LEAF_AUTO(config, parseConfig(GetParam().Value));
         EXPECT_EQ(config.Version, 3);
         EXPECT_EQ(config.Queues.size(), 1u);
         EXPECT_EQ(config.Organisations.size(), 1u);
--- a/tests/auto/adapter/tst_storeform.cpp
+++ b/tests/auto/adapter/tst_storeadapter.cpp
@@ -1,5 +1,5 @@
 #include "platformstub.h"
-#include "storeform.h"
+#include "storeadapter.h"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
--- a/tests/auto/adapter/tst_workerform.cpp
+++ b/tests/auto/adapter/tst_workeradapter.cpp
@@ -1,7 +1,7 @@
 #include "http/httpclient.h"
 #include "platformstub.h"
 #include "vanishingpeer.h"
-#include "workerform.h"
+#include "workeradapter.h"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -58,16 +58,17 @@
     {"fenced", http::HttpResponse{409, R"({"reason":"fence"})"},
      CallStatus::Refused, RefusalReason::Fenced},
     {"old_run", http::HttpResponse{409, R"({"reason":"old"})"},
-     CallStatus::Refused, RefusalReason::OldRun},
+     CallStatus::Refused, RefusalReason::StaleRun},
     {"too_late", http::HttpResponse{409, R"({"reason":"late"})"},
      CallStatus::Refused, RefusalReason::TooLate},
     {"no_free_capacity", http::HttpResponse{409, R"({"reason":"room"})"},
-     CallStatus::Refused, RefusalReason::NoRoom},
+     CallStatus::Refused, RefusalReason::NoCapacity},
     {"ticket", http::HttpResponse{409, R"({"reason":"ticket"})"},
      CallStatus::Refused, RefusalReason::Ticket},
     {"reason_unknown", http::HttpResponse{409, R"({"reason":"new one"})"},
      CallStatus::Refused},
-    {"other_incarnation", http::HttpResponse{421, "{}"}, CallStatus::OtherLife},
+    {"other_incarnation", http::HttpResponse{421, "{}"},
+     CallStatus::OtherIncarnation},
     {"busy", http::HttpResponse{503, "{}"}, CallStatus::Busy},
     {"server_error", http::HttpResponse{500, "{}"}, CallStatus::NoAnswer},
     {"no_json", http::HttpResponse{200, "<html>"}, CallStatus::Ok},
@@ -75,7 +76,7 @@
      CallStatus::Ok},
     {"reason_of_wrong_type", http::HttpResponse{409, R"({"reason":[1]})"},
      CallStatus::Refused},
-    {"nothing_listens", std::nullopt, CallStatus::NotThere},
+    {"nothing_listens", std::nullopt, CallStatus::NotListening},
 };
 
 INSTANTIATE_TEST_SUITE_P(Table, StartAnswers, ::testing::ValuesIn(OutcomeCases),
@@ -97,9 +98,9 @@
   VanishingPeer worker(R"({"clockMs":9,"running":[],"ended":[]})");
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, worker.Address);
-  const auto keepAliveReply = stub.callAndWait<endpoints::HoldReply>(
-      [&](std::function<void(endpoints::HoldReply)> done) {
-        calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
+  const auto keepAliveReply = stub.callAndWait<endpoints::KeepAliveReply>(
+      [&](std::function<void(endpoints::KeepAliveReply)> done) {
+        calls.KeepAlive({{"life-1", 1000}, 0, 11, 3, 0}, done);
       });
   ASSERT_EQ(keepAliveReply.Outcome.Status, CallStatus::Ok);
   const auto outcome =
@@ -115,13 +116,13 @@
   VanishingPeer worker(R"({"clockMs":9,"running":[],"ended":[]})");
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, worker.Address);
-  endpoints::HoldReply keepAliveReply;
+  endpoints::KeepAliveReply keepAliveReply;
   for (int n = 0; n < 2; ++n)
-    keepAliveReply = stub.callAndWait<endpoints::HoldReply>(
-        [&](std::function<void(endpoints::HoldReply)> done) {
-          calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
+    keepAliveReply = stub.callAndWait<endpoints::KeepAliveReply>(
+        [&](std::function<void(endpoints::KeepAliveReply)> done) {
+          calls.KeepAlive({{"life-1", 1000}, 0, 11, 3, 0}, done);
         });
-  EXPECT_EQ(keepAliveReply.Outcome.Status, CallStatus::NotThere)
+  EXPECT_EQ(keepAliveReply.Outcome.Status, CallStatus::NotListening)
       << keepAliveReply.Outcome.Detail;
 }
 
@@ -143,9 +144,9 @@
   PlatformStub stub(http::HttpResponse{200, GetParam().Body});
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, stub.Address);
-  const auto reply = stub.callAndWait<endpoints::HoldReply>(
-      [&](std::function<void(endpoints::HoldReply)> done) {
-        calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
+  const auto reply = stub.callAndWait<endpoints::KeepAliveReply>(
+      [&](std::function<void(endpoints::KeepAliveReply)> done) {
+        calls.KeepAlive({{"life-1", 1000}, 0, 11, 3, 0}, done);
       });
   EXPECT_EQ(reply.Outcome.Status, GetParam().Status) << reply.Outcome.Detail;
   EXPECT_EQ(reply.Running.size(), GetParam().Running);
@@ -178,9 +179,9 @@
       200, R"({"clockMs":9,"born":1791000000000,"running":[],"ended":[]})"});
   const endpoints::WorkerCalls calls =
       makeWorkerCalls(stub.Loop, stub.Client, stub.Address);
-  const auto reply = stub.callAndWait<endpoints::HoldReply>(
-      [&](std::function<void(endpoints::HoldReply)> done) {
-        calls.Hold({{"life-1", 1000}, 0, 11, 3, 0}, done);
+  const auto reply = stub.callAndWait<endpoints::KeepAliveReply>(
+      [&](std::function<void(endpoints::KeepAliveReply)> done) {
+        calls.KeepAlive({{"life-1", 1000}, 0, 11, 3, 0}, done);
       });
   EXPECT_EQ(reply.Outcome.BornMs, 1791000000000);
 }
@@ -198,13 +199,13 @@
 TEST_P(Heartbeats, AreAcceptedOrRejected) {
   PlatformStub stub(std::nullopt);
   std::optional<endpoints::Heartbeat> received;
-  HeartbeatFront front(
+  HeartbeatServer front(
       stub.Loop, "127.0.0.1", 0,
       [&received](const endpoints::Heartbeat &b) {
         received = b;
         return true;
       },
-      [](const endpoints::WorkerLife &) {});
+      [](const endpoints::WorkerIncarnation &) {});
   const http::HttpResult result = http::HttpClient(2000).call(
       "PUT",
       "http://127.0.0.1:" + std::to_string(front.port()) +
@@ -215,7 +216,7 @@
   if (!received)
     return;
   EXPECT_EQ(received->Worker.Life,
-            (endpoints::WorkerLife{"life-1", 1791000000000}));
+            (endpoints::WorkerIncarnation{"life-1", 1791000000000}));
   EXPECT_EQ(received->Worker.Rack, "r1-3");
   EXPECT_EQ(received->Worker.Capacity, (core::Resources{16000, 32768, 8}));
   EXPECT_TRUE(received->Worker.Draining);
@@ -252,11 +253,11 @@
 // to the current one.
 TEST_P(Deregistrations, NameTheIncarnationIfTheStartTimeIsGiven) {
   PlatformStub stub(std::nullopt);
-  std::optional<endpoints::WorkerLife> deregistered;
-  HeartbeatFront front(
+  std::optional<endpoints::WorkerIncarnation> deregistered;
+  HeartbeatServer front(
       stub.Loop, "127.0.0.1", 0,
       [](const endpoints::Heartbeat &) { return true; },
-      [&deregistered](const endpoints::WorkerLife &incarnation) {
+      [&deregistered](const endpoints::WorkerIncarnation &incarnation) {
         deregistered = incarnation;
       });
   const http::HttpResult result = http::HttpClient(2000).call(
@@ -266,7 +267,7 @@
       GetParam().Body);
   EXPECT_EQ(result.Status, 200);
   EXPECT_EQ(deregistered,
-            (endpoints::WorkerLife{"life-1", GetParam().StartTimeMs}));
+            (endpoints::WorkerIncarnation{"life-1", GetParam().StartTimeMs}));
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/auto/agent/tst_leaderfinder.cpp
+++ b/tests/auto/agent/tst_leaderfinder.cpp
@@ -25,8 +25,8 @@
 
 TEST(LeaderFinder, ReportsToTheLeaderThatAnyEntryNames) {
   LeaderFinder finder;
-  EXPECT_TRUE(finder.wantsEntries());
-  finder.learnEntries({"a", "b", "c"});
+  EXPECT_TRUE(finder.needsEntries());
+  finder.setEntries({"a", "b", "c"});
   EXPECT_EQ(finder.target(), "a");
   EXPECT_FALSE(finder.onAnswer("a", followerAck("c", 7)));
   EXPECT_EQ(finder.target(), "c");
@@ -40,7 +40,7 @@
 // the old leader still answered the agents.
 TEST(LeaderFinder, AsksASecondEntryWhileTheLeaderIsDoubtful) {
   LeaderFinder finder;
-  finder.learnEntries({"a", "b", "c"});
+  finder.setEntries({"a", "b", "c"});
   ASSERT_TRUE(finder.onAnswer("a", leaderAck(7)));
   EXPECT_FALSE(finder.secondTarget().has_value());
   ASSERT_TRUE(finder.onAnswer("a", leaderAck(7, true)));
@@ -60,7 +60,7 @@
 // grants keep their tasks alive.
 TEST(LeaderFinder, KeepsADoubtfulLeaderWhenNoOtherEntryLeads) {
   LeaderFinder finder;
-  finder.learnEntries({"a", "b", "c"});
+  finder.setEntries({"a", "b", "c"});
   ASSERT_TRUE(finder.onAnswer("a", leaderAck(7, true)));
   for (int i = 0; i < 5; ++i) {
     const std::optional<std::string> second = finder.secondTarget();
@@ -73,13 +73,13 @@
 
 TEST(LeaderFinder, TriesOtherEntriesAndThenTheStoreWhenNoneAnswers) {
   LeaderFinder finder;
-  finder.learnEntries({"a", "b"});
-  finder.onSilence("a");
+  finder.setEntries({"a", "b"});
+  finder.onNoAnswer("a");
   EXPECT_EQ(finder.target(), "b");
-  finder.onSilence("b");
-  finder.onSilence("a");
-  EXPECT_TRUE(finder.wantsEntries());
-  finder.learnEntries({"x"});
+  finder.onNoAnswer("b");
+  finder.onNoAnswer("a");
+  EXPECT_TRUE(finder.needsEntries());
+  finder.setEntries({"x"});
   EXPECT_EQ(finder.target(), "x");
 }
 
--- a/tests/auto/agent/tst_startbook.cpp
+++ b/tests/auto/agent/tst_starttracker.cpp
@@ -1,4 +1,4 @@
-#include "agent/startbook.h"
+#include "agent/starttracker.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,14 @@
 namespace oriolebay::agent {
 namespace {
 
-enum class EventKind { Sent, Taken, Listed, NeverBegan, Answered, Unanswered };
+enum class EventKind {
+  Sent,
+  Accepted,
+  Listed,
+  NotStarted,
+  Answered,
+  Unanswered
+};
 
 struct Event {
   int AtMs;
@@ -32,53 +39,54 @@
 
 class StartBeforeWorkerEnd : public testing::TestWithParam<StartCase> {
 protected:
-  StartBook replay() const;
+  StartTracker replay() const;
 };
 
-StartBook StartBeforeWorkerEnd::replay() const {
+StartTracker StartBeforeWorkerEnd::replay() const {
   const absl::Time start = absl::UnixEpoch();
   const endpoints::RunId &run = TestRun;
-  StartBook book;
+  StartTracker tracker;
   for (const Event &event : GetParam().Events) {
     const absl::Time now = start + absl::Milliseconds(event.AtMs);
     switch (event.Kind) {
     case EventKind::Sent:
-      book.sent(run, now);
+      tracker.recordSent(run, now);
       break;
-    case EventKind::Taken:
-      book.taken(run);
+    case EventKind::Accepted:
+      tracker.recordAccepted(run);
       break;
     case EventKind::Listed:
-      book.listed(run);
+      tracker.recordListed(run);
       break;
-    case EventKind::NeverBegan:
-      book.neverBegan(run);
+    case EventKind::NotStarted:
+      tracker.recordNotStarted(run);
       break;
     case EventKind::Answered:
-      book.answered(now);
+      tracker.recordAnswer(now);
       break;
     case EventKind::Unanswered:
-      book.unanswered(now);
+      tracker.recordNoAnswer(now);
       break;
     }
   }
-  return book;
+  return tracker;
 }
 
 // Guards against a crash that is attributed to an unrelated task, and against
 // one that is not attributed to the task that caused it.
 TEST_P(StartBeforeWorkerEnd, IsAPossibleCauseOfTheCrashWhenExpected) {
-  EXPECT_EQ(replay().justBegun().size(), GetParam().JustBegun ? 1u : 0u);
+  EXPECT_EQ(replay().recentlyStartedRuns().size(),
+            GetParam().JustBegun ? 1u : 0u);
 }
 
 // Guards against a start that the worker's next incarnation carries out
 // unnoticed, and against a task that waits for the next incarnation although
 // its start is certainly lost.
 TEST_P(StartBeforeWorkerEnd, MayBeginInTheNextIncarnationWhenExpected) {
-  const StartBook book = replay();
-  EXPECT_EQ(book.mayStillBegin(false).size(),
+  const StartTracker tracker = replay();
+  EXPECT_EQ(tracker.possibleLateStarts(false).size(),
             GetParam().MayStillBegin ? 1u : 0u);
-  EXPECT_EQ(book.mayStillBegin(true).size(),
+  EXPECT_EQ(tracker.possibleLateStarts(true).size(),
             GetParam().MayStillBeginIfNothingListens ? 1u : 0u);
 }
 
@@ -87,7 +95,7 @@
     testing::Values(StartCase{"answered_then_crashed",
                               {{0, EventKind::Answered},
                                {10, EventKind::Sent},
-                               {12, EventKind::Taken},
+                               {12, EventKind::Accepted},
                                {12, EventKind::Answered},
                                {22, EventKind::Unanswered}},
                               true,
@@ -146,7 +154,7 @@
                     StartCase{"refused",
                               {{0, EventKind::Answered},
                                {10, EventKind::Sent},
-                               {12, EventKind::NeverBegan},
+                               {12, EventKind::NotStarted},
                                {22, EventKind::Unanswered}},
                               false,
                               false,
--- a/tests/auto/agent/tst_workeragent.cpp
+++ b/tests/auto/agent/tst_workeragent.cpp
@@ -38,9 +38,10 @@
       Stops.push_back(c);
       Loop.runAfter(absl::Milliseconds(1), [this, done] { done(okOutcome()); });
     };
-    worker.Hold = [this](const endpoints::HoldCall &c, const auto &done) {
+    worker.KeepAlive = [this](const endpoints::KeepAliveCall &c,
+                              const auto &done) {
       KeepAliveCalls.push_back(c);
-      endpoints::HoldReply reply;
+      endpoints::KeepAliveReply reply;
       reply.Running = Running;
       std::erase_if(Ended, [&](const endpoints::EndedTask &e) {
         return e.Number <= c.SeenUpto;
@@ -107,7 +108,7 @@
   std::vector<endpoints::EndedTask> Ended;
   std::vector<endpoints::StartCall> Starts;
   std::vector<endpoints::StopCall> Stops;
-  std::vector<endpoints::HoldCall> KeepAliveCalls;
+  std::vector<endpoints::KeepAliveCall> KeepAliveCalls;
   std::vector<endpoints::WorkerReport> Reports;
   std::unique_ptr<WorkerAgent> Agent;
 
@@ -178,7 +179,7 @@
   const absl::Time leaderLost = fixture.Loop.now();
   fixture.Loop.advance(absl::Seconds(12));
   // The worker's clock always reads 7000 in this test.
-  for (const endpoints::HoldCall &call : fixture.KeepAliveCalls)
+  for (const endpoints::KeepAliveCall &call : fixture.KeepAliveCalls)
     EXPECT_LE(call.UntilMs, 7000 + 5500);
   EXPECT_EQ(fixture.KeepAliveCalls.back().UntilMs, 0);
   fixture.sendOrders(AgentFixture::makeStart(5, 1));
@@ -209,12 +210,13 @@
   fixture.sendOrders(AgentFixture::makeStart(5, 1));
   fixture.Loop.advance(absl::Milliseconds(20));
   fixture.KeepAliveOutcome = {};
-  fixture.KeepAliveOutcome.Status = CallStatus::NotThere;
+  fixture.KeepAliveOutcome.Status = CallStatus::NotListening;
   fixture.Loop.advance(absl::Milliseconds(1500));
   ASSERT_EQ(fixture.Reports.back().EndedLives.size(), 1u);
-  const endpoints::LifeEnd end = fixture.Reports.back().EndedLives.front();
-  EXPECT_EQ(
-      end, (endpoints::LifeEnd{{"life", 1}, true, {{"j.0.0.0", 1}}, true, {}}));
+  const endpoints::IncarnationEnd end =
+      fixture.Reports.back().EndedLives.front();
+  EXPECT_EQ(end, (endpoints::IncarnationEnd{
+                     {"life", 1}, true, {{"j.0.0.0", 1}}, true, {}}));
 }
 
 // Guards against a worker's next incarnation under the same id that drops
@@ -227,12 +229,12 @@
   fixture.Loop.advance(absl::Seconds(1));
   const bool acknowledged = std::any_of(
       fixture.KeepAliveCalls.begin(), fixture.KeepAliveCalls.end(),
-      [](const endpoints::HoldCall &call) { return call.SeenUpto == 5; });
+      [](const endpoints::KeepAliveCall &call) { return call.SeenUpto == 5; });
   EXPECT_TRUE(acknowledged);
   fixture.KeepAliveCalls.clear();
   fixture.Loop.advance(absl::Seconds(2));
   ASSERT_FALSE(fixture.KeepAliveCalls.empty());
-  for (const endpoints::HoldCall &call : fixture.KeepAliveCalls)
+  for (const endpoints::KeepAliveCall &call : fixture.KeepAliveCalls)
     EXPECT_EQ(call.SeenUpto, 0);
 }
 
@@ -241,12 +243,12 @@
 // time.
 TEST(WorkerAgent, DeregistrationWithoutStartTimeEndsOnlyADrainingWorker) {
   AgentFixture fixture;
-  fixture.Agent->onLeave({"life", 0});
+  fixture.Agent->onDeregister({"life", 0});
   fixture.Loop.advance(absl::Milliseconds(10));
   EXPECT_TRUE(fixture.Agent->status().Reachable);
   fixture.NextHeartbeat.Worker.Draining = true;
   fixture.sendHeartbeat();
-  fixture.Agent->onLeave({"life", 0});
+  fixture.Agent->onDeregister({"life", 0});
   fixture.Loop.advance(absl::Milliseconds(10));
   EXPECT_FALSE(fixture.Agent->status().Reachable);
 }
@@ -256,7 +258,7 @@
 TEST(WorkerAgent, IncarnationConsideredEndedIsUsedAgainWhenItAnswers) {
   AgentFixture fixture;
   fixture.KeepAliveOutcome = {};
-  fixture.KeepAliveOutcome.Status = CallStatus::NotThere;
+  fixture.KeepAliveOutcome.Status = CallStatus::NotListening;
   fixture.Loop.advance(absl::Milliseconds(1500));
   ASSERT_FALSE(fixture.Agent->status().Reachable);
   fixture.KeepAliveOutcome.Status = CallStatus::Ok;
@@ -274,7 +276,7 @@
   fixture.NextHeartbeat.Worker.Draining = true;
   fixture.sendHeartbeat();
   fixture.KeepAliveOutcome = {};
-  fixture.KeepAliveOutcome.Status = CallStatus::NotThere;
+  fixture.KeepAliveOutcome.Status = CallStatus::NotListening;
   fixture.Loop.advance(absl::Milliseconds(1500));
   ASSERT_EQ(fixture.Reports.back().EndedLives.size(), 1u);
   EXPECT_FALSE(fixture.Reports.back().EndedLives.front().Crashed);
@@ -294,7 +296,8 @@
   EXPECT_TRUE(fixture.Starts.empty());
   fixture.Loop.advance(absl::Seconds(1));
   ASSERT_FALSE(fixture.results().empty());
-  EXPECT_EQ(fixture.results().back().Outcome, endpoints::OrderOutcome::NoRoom);
+  EXPECT_EQ(fixture.results().back().Outcome,
+            endpoints::OrderOutcome::NoCapacity);
 }
 
 // Guards against capacity that is assigned after the worker has lost it, or
--- a/tests/auto/cluster/memoryworker.cpp
+++ b/tests/auto/cluster/memoryworker.cpp
@@ -147,7 +147,7 @@
   extendLease(call.UntilMs);
   auto highest = HighestRunByTask.find(key.first);
   if (highest != HighestRunByTask.end() && key.second <= highest->second)
-    return refuse(RefusalReason::OldRun);
+    return refuse(RefusalReason::StaleRun);
   if (call.UntilMs <= clockMs())
     return refuse(RefusalReason::TooLate);
   if (Shared.AcknowledgedDone.count(key.first) != 0)
@@ -181,8 +181,9 @@
   return ok();
 }
 
-endpoints::HoldReply MemoryWorker::keepAlive(const endpoints::HoldCall &call) {
-  endpoints::HoldReply reply;
+endpoints::KeepAliveReply
+MemoryWorker::keepAlive(const endpoints::KeepAliveCall &call) {
+  endpoints::KeepAliveReply reply;
   reply.Outcome = ok();
   reply.Outcome.BornMs = State.Life.BornMs;
   if (call.Epoch < FencingToken) {
@@ -210,7 +211,7 @@
   return reply;
 }
 
-void MemoryWorker::deliverOrder(const endpoints::WorkerLife &incarnation,
+void MemoryWorker::deliverOrder(const endpoints::WorkerIncarnation &incarnation,
                                 const std::function<CallOutcome()> &execute,
                                 const std::function<void(CallOutcome)> &done) {
   auto noAnswer = [this, done] {
@@ -224,7 +225,7 @@
   }
   if (!isListening()) {
     Loop.runAfter(AnswerDelay, [done] {
-      done({CallStatus::NotThere, RefusalReason::None, 0, "refused"});
+      done({CallStatus::NotListening, RefusalReason::None, 0, "refused"});
     });
     return;
   }
@@ -233,7 +234,7 @@
     if (!isListening())
       return {};
     if (incarnation.Id != State.Life.Id)
-      return {CallStatus::OtherLife, RefusalReason::None, clockMs(), ""};
+      return {CallStatus::OtherIncarnation, RefusalReason::None, clockMs(), ""};
     return execute();
   };
   if (chance(LateOrderShare)) {
@@ -262,25 +263,26 @@
     deliverOrder(
         c.Life, [this, c] { return stop(c); }, done);
   };
-  calls.Hold = [this](const endpoints::HoldCall &c, const auto &done) {
+  calls.KeepAlive = [this](const endpoints::KeepAliveCall &c,
+                           const auto &done) {
     if (Down) {
       Loop.runAfter(OrderTimeout, [done] { done({}); });
       return;
     }
     Loop.runAfter(AnswerDelay, [this, c, done] {
       if (!isListening()) {
-        endpoints::HoldReply reply;
-        reply.Outcome.Status = CallStatus::NotThere;
+        endpoints::KeepAliveReply reply;
+        reply.Outcome.Status = CallStatus::NotListening;
         done(reply);
         return;
       }
       if (c.Life.Id != State.Life.Id) {
-        endpoints::HoldReply reply;
-        reply.Outcome.Status = CallStatus::OtherLife;
+        endpoints::KeepAliveReply reply;
+        reply.Outcome.Status = CallStatus::OtherIncarnation;
         done(reply);
         return;
       }
-      const endpoints::HoldReply reply = keepAlive(c);
+      const endpoints::KeepAliveReply reply = keepAlive(c);
       if (c.WaitMs == 0 || !reply.Ended.empty() ||
           reply.Outcome.Status != CallStatus::Ok) {
         done(reply);
@@ -310,7 +312,7 @@
       remaining.push_back(std::move(poll));
       continue;
     }
-    endpoints::HoldCall pollOnly = poll.Call;
+    endpoints::KeepAliveCall pollOnly = poll.Call;
     pollOnly.UntilMs = 0;
     poll.Done(keepAlive(pollOnly));
   }
--- a/tests/auto/cluster/memoryworker.h
+++ b/tests/auto/cluster/memoryworker.h
@@ -90,8 +90,8 @@
   endpoints::CallOutcome refuse(endpoints::RefusalReason reason) const;
   endpoints::CallOutcome start(const endpoints::StartCall &call);
   endpoints::CallOutcome stop(const endpoints::StopCall &call);
-  endpoints::HoldReply keepAlive(const endpoints::HoldCall &call);
-  void deliverOrder(const endpoints::WorkerLife &incarnation,
+  endpoints::KeepAliveReply keepAlive(const endpoints::KeepAliveCall &call);
+  void deliverOrder(const endpoints::WorkerIncarnation &incarnation,
                     const std::function<endpoints::CallOutcome()> &execute,
                     const std::function<void(endpoints::CallOutcome)> &done);
   void extendLease(int64_t untilMs);
@@ -123,8 +123,8 @@
   std::map<std::string, int64_t> HighestRunByTask;
   std::vector<endpoints::EndedTask> Ended;
   struct PendingPoll {
-    endpoints::HoldCall Call;
-    std::function<void(endpoints::HoldReply)> Done;
+    endpoints::KeepAliveCall Call;
+    std::function<void(endpoints::KeepAliveReply)> Done;
     absl::Time Until;
   };
   std::vector<PendingPoll> PendingPolls;
--- a/tests/auto/cluster/tst_prefixfollower.cpp
+++ b/tests/auto/cluster/tst_prefixfollower.cpp
@@ -34,7 +34,7 @@
   MemoryStore store(loop, 1);
   const platform::Store client = store.clientOf("entry");
   platform::FollowTiming timing;
-  timing.RestAfterNews = [] { return GetParam().Delay; };
+  timing.DelayAfterChanges = [] { return GetParam().Delay; };
   std::vector<std::string> reported;
   platform::PrefixFollower follower(
       loop, client, "jobs/", timing,
--- a/tests/auto/jobs/simsite.cpp
+++ b/tests/auto/jobs/simsite.cpp
@@ -84,9 +84,10 @@
 void SimSite::crashAndRestart(const std::string &incarnation) {
   CrashedWorker crashed{Workers.at(incarnation), Now + CrashDetectionDelay,
                         Now + RestartDelay};
-  endpoints::LifeEnd end{crashed.LastState.State.Life, true, {}, true, {}};
+  endpoints::IncarnationEnd end{
+      crashed.LastState.State.Life, true, {}, true, {}};
   for (const auto &[run, state] : crashed.LastState.Runs) {
-    if (Now - state.StartedAt < endpoints::CrashShowsWithin)
+    if (Now - state.StartedAt < endpoints::CrashDetectionWindow)
       end.JustBegun.push_back(run);
     if (CrashesWorker && CrashesWorker(taskIdOf(run.Task)))
       ++CrashesByTask[run.Task];
@@ -392,7 +393,7 @@
     const bool known = worker.Runs.count(key) != 0;
     if (!known && !start.DecidedOn.fitsIn(worker.State.Capacity)) {
       worker.Results.push_back(
-          {start.Task, start.Run, endpoints::OrderOutcome::NoRoom, ""});
+          {start.Task, start.Run, endpoints::OrderOutcome::NoCapacity, ""});
       continue;
     }
     worker.Results.push_back(
--- a/tests/auto/jobs/simsite.h
+++ b/tests/auto/jobs/simsite.h
@@ -56,7 +56,7 @@
     absl::Time CrashesAt = absl::InfiniteFuture();
     /// Ends of earlier incarnations, as the agent beside the worker reports
     /// them.
-    std::vector<endpoints::LifeEnd> EndedLives;
+    std::vector<endpoints::IncarnationEnd> EndedLives;
   };
 
   /// Adds a worker, by default with the resources of a whole worker of the Brno
--- a/tests/bench/decidebench/main.cpp
+++ b/tests/bench/decidebench/main.cpp
@@ -59,7 +59,7 @@
   }
 
 private:
-  endpoints::WorkerLife incarnation(int worker) const {
+  endpoints::WorkerIncarnation incarnation(int worker) const {
     return {"w" + std::to_string(worker), 1};
   }
 
@@ -118,7 +118,7 @@
   int NextWorker = 0;
   int64_t Sequence = 0;
   int64_t Revision = 0;
-  std::map<endpoints::WorkerLife, std::vector<endpoints::RunningTask>>
+  std::map<endpoints::WorkerIncarnation, std::vector<endpoints::RunningTask>>
       RunningAt;
 };
 
