--- a/src/app/agent/jobscommand.cpp
+++ b/src/app/agent/jobscommand.cpp
@@ -36,7 +36,8 @@
               adapter::makeWorkerCalls(Loop, Client, Settings.Worker.text()),
               Settings, EntryPrefix,
               [this](const endpoints::OrderResult &r) {
-                Metrics.orderConcluded(endpoints::orderOutcomeName(r.Outcome));
+                Metrics.recordOrderOutcome(
+                    endpoints::orderOutcomeName(r.Outcome));
               }),
         Heartbeats(
             Loop, Settings.Control.Host, Settings.Control.Port,
--- a/src/app/entry/jobscommand.cpp
+++ b/src/app/entry/jobscommand.cpp
@@ -66,24 +66,25 @@
   EntryObservers metricObservers() {
     EntryObservers o;
     o.Called = [this](const jobs::CallDecision &d) {
-      Metrics.callAnswered(d.Call, jobs::callResultName(d.Answer.Result),
-                           absl::Milliseconds(d.TookMs));
+      Metrics.recordCall(d.Call, jobs::callResultName(d.Answer.Result),
+                         absl::Milliseconds(d.TookMs));
     };
     o.Decided = [this](const jobs::Decision &d) { countDecision(d); };
     o.StoreCalled = [this](const char *call, platform::StoreStatus status,
                            absl::Duration duration) {
-      Metrics.storeCalled(call, platform::storeStatusName(status), duration);
+      Metrics.recordStoreCall(call, platform::storeStatusName(status),
+                              duration);
     };
     return o;
   }
 
   void countDecision(const jobs::Decision &d) {
     if (d.What == jobs::Decision::Kind::Placed)
-      Metrics.runPlaced(static_cast<int>(d.input("rank")),
-                        absl::Milliseconds(d.input("waited_ms")));
+      Metrics.recordRunPlaced(static_cast<int>(d.input("rank")),
+                              absl::Milliseconds(d.input("waited_ms")));
     else if (d.What == jobs::Decision::Kind::JobEnded)
-      Metrics.jobEnded(d.Why, static_cast<int>(d.input("priority")),
-                       absl::Milliseconds(d.input("took_ms")));
+      Metrics.recordJobEnded(d.Why, static_cast<int>(d.input("priority")),
+                             absl::Milliseconds(d.input("took_ms")));
   }
 
   void refresh(metrics::ProcessMetrics &m) const {
@@ -122,7 +123,7 @@
     const absl::Duration sinceStop = utils::bootNow() - StopStartedAt;
     const bool idle =
         sinceStop >= BalancerDetectionTime && Callers.unanswered() == 0;
-    if (idle || sinceStop >= settings::deriveTiming(Settings).LeaveBy) {
+    if (idle || sinceStop >= settings::deriveTiming(Settings).MaxShutdownTime) {
       logEvent(Event::ProcessStopped, {{"unanswered", Callers.unanswered()}});
       Loop.stop();
       return;
--- a/src/app/entry/logcommands.cpp
+++ b/src/app/entry/logcommands.cpp
@@ -13,8 +13,8 @@
 namespace oriolebay::entry {
 
 using eventlog::EventFilter;
+using eventlog::LogContents;
 using eventlog::LoggedEvent;
-using eventlog::ReadEvents;
 
 namespace {
 
@@ -51,13 +51,13 @@
 // Prints which parts of the files were not used. Returns false when a file
 // could not be read, because a time line that lacks a process would be
 // misleading.
-bool reportUnusedInput(const ReadEvents &read) {
-  if (read.Skipped > 0)
-    std::cerr << read.Skipped << " lines were not events\n";
-  for (const std::string &path : read.Unreadable)
+bool reportUnusedInput(const LogContents &read) {
+  if (read.SkippedLines > 0)
+    std::cerr << read.SkippedLines << " lines were not events\n";
+  for (const std::string &path : read.UnreadableFiles)
     std::cerr << "oriolebay-entry: cannot read " << path
               << " (remedy: give files that this user may read)\n";
-  return read.Unreadable.empty();
+  return read.UnreadableFiles.empty();
 }
 
 int printEvents(const std::vector<LoggedEvent> &events,
@@ -103,7 +103,7 @@
   if (!parseTimeOption(vm, "from", filter.FromUs) ||
       !parseTimeOption(vm, "to", filter.ToUs))
     return ExitUsage;
-  const ReadEvents read = eventlog::readEvents({args.begin() + 1, args.end()});
+  const LogContents read = eventlog::readEvents({args.begin() + 1, args.end()});
   if (!reportUnusedInput(read))
     return ExitUsage;
   return printEvents(eventlog::select(read.Events, filter), vm);
@@ -113,17 +113,17 @@
                const po::variables_map &vm) {
   if (args.size() < 3)
     return usage("explain JOB FILE... [--json]");
-  const ReadEvents read = eventlog::readEvents({args.begin() + 2, args.end()});
+  const LogContents read = eventlog::readEvents({args.begin() + 2, args.end()});
   if (!reportUnusedInput(read))
     return ExitUsage;
-  return printEvents(eventlog::storyOf(args[1], read.Events), vm);
+  return printEvents(eventlog::eventsOfJob(args[1], read.Events), vm);
 }
 
 int showLosses(const std::vector<std::string> &args,
                const po::variables_map &vm) {
   if (args.size() < 2)
     return usage("losses FILE... [--json] [--svg FILE]");
-  const ReadEvents read = eventlog::readEvents({args.begin() + 1, args.end()});
+  const LogContents read = eventlog::readEvents({args.begin() + 1, args.end()});
   if (!reportUnusedInput(read))
     return ExitUsage;
   const losses::SiteHistory site = losses::historyOf(read.Events);
--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -221,7 +221,7 @@
 // ---- Reports ----
 
 void WorkerAgent::scheduleReport() {
-  Loop.runAfter(Time.ReportEvery, [this, alive = Alive] {
+  Loop.runAfter(Time.ReportInterval, [this, alive = Alive] {
     if (!*alive)
       return;
     logGrantEnd();
--- a/src/libs/core/jobspec.cpp
+++ b/src/libs/core/jobspec.cpp
@@ -24,7 +24,7 @@
   const Resources &r = step.PerTask;
   if (r.MilliCores < 0 || r.MemoryMb < 0 || r.Accelerators < 0)
     return where + ": cores, memory and accelerators cannot be negative";
-  if (step.MaxPerWorker < 0 || step.EstimateMs < 0 || step.MayMiss < 0)
+  if (step.MaxPerWorker < 0 || step.EstimateMs < 0 || step.MaxUnavailable < 0)
     return where + ": limits and estimates cannot be negative";
   for (int after : step.After)
     if (after < 0 || after >= number)
@@ -44,9 +44,9 @@
   flag(step.Gang, "gang");
   flag(step.SameRack, "same_rack");
   flag(step.Checkpoints, "checkpoints");
-  flag(step.Copies, "copies");
+  flag(step.Speculative, "copies");
   flag(step.LongRunning, "long_running");
-  flag(step.FillsIdle, "fills_idle");
+  flag(step.UsesIdleCores, "fills_idle");
   if (!step.After.empty())
     absl::StrAppend(&out, " after=", absl::StrJoin(step.After, ","));
   if (!step.NeedsLabel.empty())
@@ -57,8 +57,8 @@
     absl::StrAppend(&out, " per_worker=", step.MaxPerWorker);
   if (step.TargetMs > 0)
     absl::StrAppend(&out, " target=", step.TargetMs, "ms");
-  if (step.MayMiss > 0)
-    absl::StrAppend(&out, " may_miss=", step.MayMiss);
+  if (step.MaxUnavailable > 0)
+    absl::StrAppend(&out, " may_miss=", step.MaxUnavailable);
   return out;
 }
 
--- a/src/libs/core/jobspec.h
+++ b/src/libs/core/jobspec.h
@@ -65,7 +65,7 @@
   int MaxPerWorker = 0;
   /// Several copies of a task may run at the same time; the first to finish
   /// counts.
-  bool Copies = false;
+  bool Speculative = false;
   /// The tasks run until the job is cancelled and are restarted whenever they
   /// end.
   bool LongRunning = false;
@@ -77,16 +77,16 @@
   int64_t TargetMs = 0;
   /// The tasks only use cores that other tasks leave idle, so their cores do
   /// not count against a worker's capacity.
-  bool FillsIdle = false;
+  bool UsesIdleCores = false;
   /// Maximum number of long-running tasks of the step that may be unavailable
   /// at the same time because the system stopped or moved them.
-  int MayMiss = 0;
+  int MaxUnavailable = 0;
 
   /// Returns the resources that a task takes from a worker's capacity. Cores of
   /// tasks that only use idle cores are not counted.
-  Resources room() const {
+  Resources taskResources() const {
     Resources r = PerTask;
-    if (FillsIdle)
+    if (UsesIdleCores)
       r.MilliCores = 0;
     return r;
   }
--- a/src/libs/endpoints/backendclient.cpp
+++ b/src/libs/endpoints/backendclient.cpp
@@ -21,7 +21,7 @@
                {"power_limit_watts", task.PowerLimitWatts},
                {"lease_ms", leaseMs}};
   http::HttpResult res = Client.call("POST", Url + "/run", body.dump());
-  if (!res.answered())
+  if (!res.hasAnswer())
     return {TaskEnd::Failed, "back end did not answer: " + res.Error, ""};
   json reply = json::parse(res.Body, nullptr, false);
   if (!reply.is_object())
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -78,7 +78,7 @@
   Config = std::make_unique<operators::ConfigFollower>(
       Loop, Calls,
       operators::ConfigSource{std::move(configKey), std::move(decodeConfig),
-                              Time.ConfirmEvery, follow},
+                              Time.ConfirmInterval, follow},
       [this](const std::shared_ptr<const core::SiteConfig> &c) { onConfig(c); },
       [](const utils::Error &e) {
         logEvent(Event::ConfigRefused, {{"error", e.text()}});
@@ -108,7 +108,7 @@
       storeErrorLogger("jobs"));
   jobs::JobServicePolicy servicePolicy;
   servicePolicy.MaxConfigAge = Time.MaxConfigAge;
-  servicePolicy.MaxViewAge = Time.FreshConfig;
+  servicePolicy.MaxViewAge = Time.MaxConfirmedConfigAge;
   Forwarder = std::make_unique<CallForwarder>(
       Loop, Peers, [this] { return otherEntries(); });
   Service = std::make_unique<jobs::JobService>(
@@ -174,7 +174,7 @@
   EntryStatus s;
   if (Config->current() != nullptr) {
     s.ConfigVersion = Config->current()->Version;
-    s.ConfigOutdated = Config->outdated();
+    s.ConfigOutdated = Config->isOutdated();
     s.ConfigAgeSeconds = absl::ToDoubleSeconds(Config->age(Loop.now()));
   }
   s.Leads = Session != nullptr && Session->isRunning();
@@ -264,9 +264,9 @@
   options.GrantWithoutStore = Time.GrantWithoutStore;
   options.DoubtfulAfter = Time.LeaderLease;
   options.Policy.Fleet.UnresponsiveAfter = Time.UnresponsiveAfter;
-  options.Policy.Fleet.LostAfter = Time.GrantOverAfter;
+  options.Policy.Fleet.LostAfter = Time.GrantExpiredAfter;
   options.Policy.UnreportedLostAfter =
-      Time.GrantWithoutStore + Time.GrantOverAfter;
+      Time.GrantWithoutStore + Time.GrantExpiredAfter;
   options.Policy.RemoteFactor = Settings.Bounds.RemoteFactor;
   options.Policy.GangWait = absl::Milliseconds(Settings.Bounds.GangWaitMs);
   options.Policy.Progress.RestoreTime =
--- a/src/libs/eventlog/eventlog.cpp
+++ b/src/libs/eventlog/eventlog.cpp
@@ -183,6 +183,6 @@
   return log == nullptr ? std::map<Event, int64_t>() : log->Limiter.totals();
 }
 
-int64_t linesLeftOut() { return DroppedLines; }
+int64_t droppedLineCount() { return DroppedLines; }
 
 } // namespace oriolebay::eventlog
--- a/src/libs/eventlog/eventlog.h
+++ b/src/libs/eventlog/eventlog.h
@@ -40,7 +40,7 @@
 std::map<Event, int64_t> eventCounts();
 
 /// Returns the number of lines dropped since the start.
-int64_t linesLeftOut();
+int64_t droppedLineCount();
 
 /// Maximum number of lines of one kind that are written per second; further
 /// lines are dropped.
--- a/src/libs/eventlog/timeline.cpp
+++ b/src/libs/eventlog/timeline.cpp
@@ -59,7 +59,7 @@
       addLine(line);
   }
 
-  ReadEvents finish() {
+  LogContents finish() {
     for (auto &[process, processEvents] : EventsByProcess)
       finishProcess(processEvents);
     std::stable_sort(Result.Events.begin(), Result.Events.end(),
@@ -76,7 +76,7 @@
                       ? json()
                       : json::parse(line.substr(start), nullptr, false);
     if (!fields.is_object() || !fields.contains("ts_us")) {
-      ++Result.Skipped;
+      ++Result.SkippedLines;
       return;
     }
     ProcessEvents &processEvents = EventsByProcess[textIn(fields, "proc")];
@@ -94,7 +94,7 @@
   }
 
   std::map<std::string, ProcessEvents> EventsByProcess;
-  ReadEvents Result;
+  LogContents Result;
 };
 
 bool matches(const EventFilter &f, const LoggedEvent &e) {
@@ -145,7 +145,7 @@
 
 } // namespace
 
-ReadEvents readEvents(const std::vector<std::string> &paths) {
+LogContents readEvents(const std::vector<std::string> &paths) {
   Reader reader;
   std::vector<std::string> unreadable;
   for (const std::string &path : paths) {
@@ -158,8 +158,8 @@
       unreadable.push_back(path);
     reader.read(in);
   }
-  ReadEvents read = reader.finish();
-  read.Unreadable = std::move(unreadable);
+  LogContents read = reader.finish();
+  read.UnreadableFiles = std::move(unreadable);
   return read;
 }
 
@@ -171,8 +171,8 @@
   return selected;
 }
 
-std::vector<LoggedEvent> storyOf(const std::string &job,
-                                 const std::vector<LoggedEvent> &events) {
+std::vector<LoggedEvent> eventsOfJob(const std::string &job,
+                                     const std::vector<LoggedEvent> &events) {
   std::optional<int64_t> first;
   int64_t last = 0;
   std::set<std::string> workers;
--- a/src/libs/eventlog/timeline.h
+++ b/src/libs/eventlog/timeline.h
@@ -20,10 +20,10 @@
 
 /// The events read in time order, the number of lines that were not events, and
 /// the files that could not be opened.
-struct ReadEvents {
+struct LogContents {
   std::vector<LoggedEvent> Events;
-  int Skipped = 0;
-  std::vector<std::string> Unreadable;
+  int SkippedLines = 0;
+  std::vector<std::string> UnreadableFiles;
 };
 
 /// Reads the event logs in paths; "-" is standard input. Text before a line's
@@ -31,7 +31,7 @@
 /// process may jump; therefore its lines are ordered by its boot clock, and the
 /// boot clock is mapped to wall clock time with the median offset between both
 /// clocks over all lines.
-ReadEvents readEvents(const std::vector<std::string> &paths);
+LogContents readEvents(const std::vector<std::string> &paths);
 
 /// Selects events; an empty member matches every event.
 struct EventFilter {
@@ -52,8 +52,8 @@
 /// first and its last one, those of the workers that it was placed on, of the
 /// leader, of the store and of the event log itself. Of the failed store calls
 /// in one outage it includes one for each process.
-std::vector<LoggedEvent> storyOf(const std::string &job,
-                                 const std::vector<LoggedEvent> &events);
+std::vector<LoggedEvent> eventsOfJob(const std::string &job,
+                                     const std::vector<LoggedEvent> &events);
 
 /// Prints one line of JSON for each event.
 void printJson(const std::vector<LoggedEvent> &events, std::ostream &out);
--- a/src/libs/http/httpclient.h
+++ b/src/libs/http/httpclient.h
@@ -19,7 +19,7 @@
   /// The connection was refused: no process listens at the address.
   bool Refused = false;
 
-  bool answered() const { return Status != 0; }
+  bool hasAnswer() const { return Status != 0; }
 };
 
 /// A blocking HTTP client based on libcurl that keeps one connection alive. It
--- a/src/libs/jobs/jobdeadline.cpp
+++ b/src/libs/jobs/jobdeadline.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 int wavesOf(const core::StepSpec &step, const core::Resources &capacity) {
-  const core::Resources perTask = step.room();
+  const core::Resources perTask = step.taskResources();
   const int64_t n = step.Count;
   const int64_t waves =
       std::max({wavesFor(n * perTask.MilliCores, capacity.MilliCores),
--- a/src/libs/jobs/jobrecord.cpp
+++ b/src/libs/jobs/jobrecord.cpp
@@ -26,12 +26,12 @@
   putUnlessDefault("label", s.NeedsLabel, defaults.NeedsLabel);
   putUnlessDefault("data", s.DataRack, defaults.DataRack);
   putUnlessDefault("max", s.MaxPerWorker, defaults.MaxPerWorker);
-  putUnlessDefault("copies", s.Copies, defaults.Copies);
+  putUnlessDefault("copies", s.Speculative, defaults.Speculative);
   putUnlessDefault("long", s.LongRunning, defaults.LongRunning);
   putUnlessDefault("image", s.Image, defaults.Image);
   putUnlessDefault("target", s.TargetMs, defaults.TargetMs);
-  putUnlessDefault("fills", s.FillsIdle, defaults.FillsIdle);
-  putUnlessDefault("miss", s.MayMiss, defaults.MayMiss);
+  putUnlessDefault("fills", s.UsesIdleCores, defaults.UsesIdleCores);
+  putUnlessDefault("miss", s.MaxUnavailable, defaults.MaxUnavailable);
 }
 
 void from_json(const nlohmann::json &j, StepSpec &s) {
@@ -48,12 +48,12 @@
   s.NeedsLabel = j.value("label", defaults.NeedsLabel);
   s.DataRack = j.value("data", defaults.DataRack);
   s.MaxPerWorker = j.value("max", defaults.MaxPerWorker);
-  s.Copies = j.value("copies", defaults.Copies);
+  s.Speculative = j.value("copies", defaults.Speculative);
   s.LongRunning = j.value("long", defaults.LongRunning);
   s.Image = j.value("image", defaults.Image);
   s.TargetMs = j.value("target", defaults.TargetMs);
-  s.FillsIdle = j.value("fills", defaults.FillsIdle);
-  s.MayMiss = j.value("miss", defaults.MayMiss);
+  s.UsesIdleCores = j.value("fills", defaults.UsesIdleCores);
+  s.MaxUnavailable = j.value("miss", defaults.MaxUnavailable);
 }
 
 } // namespace oriolebay::core
--- a/src/libs/jobs/jobscheduler.cpp
+++ b/src/libs/jobs/jobscheduler.cpp
@@ -262,7 +262,7 @@
     job.State = JobState::Running;
   job.Dirty = true;
   Workers.allocate(incarnation, {core::taskName(id), run},
-                   job.specOf(id).room());
+                   job.specOf(id).taskResources());
   logDecision(Decision::Kind::Placed, id.Job, core::taskName(id), run,
               incarnation.Id, "",
               {{"rank", rank},
--- a/src/libs/jobs/jobscheduler_incarnations.cpp
+++ b/src/libs/jobs/jobscheduler_incarnations.cpp
@@ -50,7 +50,7 @@
                                                     task.MayStartUntil};
   else
     Workers.allocate(next, {core::taskName(id), task.Progress.Run},
-                     job.specOf(id).room());
+                     job.specOf(id).taskResources());
   job.Dirty = true;
   task.RunPhase = Phase::Ordered;
   task.StopRequested = false;
--- a/src/libs/jobs/jobscheduler_reports.cpp
+++ b/src/libs/jobs/jobscheduler_reports.cpp
@@ -85,7 +85,7 @@
     forEachTask(job, [&](const TaskId &id, Task &task) {
       if (task.Progress.Worker == incarnation)
         Workers.allocate(incarnation, {core::taskName(id), task.Progress.Run},
-                         job.specOf(id).room());
+                         job.specOf(id).taskResources());
     });
   }
   logDecision(Decision::Kind::WorkerJoined, "", "", 0, incarnation.Id);
--- a/src/libs/jobs/jobservice.cpp
+++ b/src/libs/jobs/jobservice.cpp
@@ -96,7 +96,7 @@
 
 CallRequest JobService::requestOf(const CallPtr &call) const {
   return {call->Name, call->Access, call->JobId, call->Spec,
-          Config.newestRevision()};
+          Config.newestKnownRevision()};
 }
 
 // Whether another entry's answer may be passed on to the caller. A write that
@@ -107,7 +107,7 @@
                                 const CallAnswer &answer) const {
   const bool isWrite = call->Name == "submit" || call->Name == "cancel";
   return (isWrite && answer.Result == CallResult::Ok) ||
-         answer.DecidedBy.Revision >= Config.newestRevision();
+         answer.DecidedBy.Revision >= Config.newestKnownRevision();
 }
 
 // Answers NotDone only if nothing can still be carried out, neither an earlier
@@ -117,7 +117,7 @@
                              bool outcomeUnknown) {
   call->OutcomeUnknown |= outcomeUnknown;
   if (answer)
-    Config.heardOf(answer->DecidedBy);
+    Config.handleNewerConfig(answer->DecidedBy);
   if (answer && answer->Result != CallResult::NotDone &&
       isAnswerUsable(call, *answer)) {
     CallAnswer relayed = withReportedEnd(call, *answer);
@@ -144,7 +144,7 @@
 // or another entry that has done so may be asking. An answer based on the older
 // one would contradict that.
 bool JobService::isConfigUsable() const {
-  return Config.current() != nullptr && !Config.outdated() &&
+  return Config.current() != nullptr && !Config.isOutdated() &&
          Config.age(Loop.now()) <= Policy.MaxConfigAge;
 }
 
@@ -175,7 +175,7 @@
   if (!isConfigUsable()) {
     if (forward(call))
       return;
-    if (!confirmed && Config.outdated() && isStoreUsable()) {
+    if (!confirmed && Config.isOutdated() && isStoreUsable()) {
       confirmConfig(call, next);
       return;
     }
@@ -282,7 +282,7 @@
 }
 
 void JobService::serveForwarded(CallRequest request, Done done) {
-  Config.heardOf({request.OldestRevision, 0});
+  Config.handleNewerConfig({request.OldestRevision, 0});
   const CallPtr call = newCall(std::move(request), std::move(done));
   call->FromOtherEntry = true;
   serve(call);
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -208,8 +208,8 @@
   int64_t taskCount = 0;
   for (const Candidate &candidate : Candidates)
     if (isEligible(*candidate.View, unit))
-      taskCount +=
-          spec.room().countIn(candidate.View->State.Capacity, maxTasks);
+      taskCount += spec.taskResources().countIn(candidate.View->State.Capacity,
+                                                maxTasks);
   return taskCount;
 }
 
@@ -275,7 +275,7 @@
   maxTasks = std::min(maxTasks, unit.TaskLimits[candidateIndex]);
   return maxTasks <= 0
              ? 0
-             : unit.spec().room().countIn(
+             : unit.spec().taskResources().countIn(
                    usableResources(Candidates[candidateIndex], unit), maxTasks);
 }
 
@@ -302,7 +302,7 @@
     if (view.State.Draining || !isEligible(view, unit))
       continue;
     int64_t &taskCount = tasksByRack[view.State.Rack];
-    taskCount += spec.room().countIn(view.State.Capacity, maxTasks);
+    taskCount += spec.taskResources().countIn(view.State.Capacity, maxTasks);
     if (taskCount >= spec.Count)
       return true;
   }
@@ -385,7 +385,7 @@
     Scheduler.assignRun(*unit.Owner, unit.taskId(unit.Tasks[n]),
                         Candidates[placement[n]].View->State.Life, saved,
                         run + 1, unit.Rank, Now);
-    allocate(placement[n], unit.spec().room());
+    allocate(placement[n], unit.spec().taskResources());
     markRecentStart(placement[n], unit);
   }
   refreshRunningUnits(*unit.Owner, unit.Occurrence, unit.Step);
@@ -397,7 +397,7 @@
                       Candidates[candidateIndex].View->State.Life,
                       task.Progress.Saved, task.Progress.Run + 1, unit.Rank,
                       Now);
-  allocate(candidateIndex, unit.spec().room());
+  allocate(candidateIndex, unit.spec().taskResources());
   markRecentStart(candidateIndex, unit);
   if (unit.spec().MaxPerWorker > 0)
     --unit.TaskLimits[candidateIndex];
--- a/src/libs/jobs/planner_capacity.cpp
+++ b/src/libs/jobs/planner_capacity.cpp
@@ -77,7 +77,7 @@
       gang.TimeLeft = std::max(gang.TimeLeft, timeLeft);
       gang.Stopping = gang.Stopping && t.StopRequested;
       if (candidate != CandidateOf.end())
-        freedByGang[candidate->second] += spec.room();
+        freedByGang[candidate->second] += spec.taskResources();
     } else if (candidate != CandidateOf.end()) {
       RunningUnits.push_back({&job,
                               occurrence,
@@ -87,7 +87,7 @@
                               lostWork,
                               timeLeft,
                               t.StopRequested,
-                              {{candidate->second, spec.room()}}});
+                              {{candidate->second, spec.taskResources()}}});
     }
   }
   if (freedByGang.empty())
@@ -275,7 +275,7 @@
 void Planner::reserve(const PlacementUnit &unit, const CapacityPlan &plan) {
   ResourcesByCandidate needs;
   for (size_t c : plan.TargetPlacement)
-    needs[c] += unit.spec().room();
+    needs[c] += unit.spec().taskResources();
   for (auto &[c, need] : needs) {
     Candidate &candidate = Candidates[c];
     core::Resources remainder = candidate.Unreserved;
--- a/src/libs/losses/attribution.cpp
+++ b/src/libs/losses/attribution.cpp
@@ -322,7 +322,7 @@
         return;
       }
       attributeFrom(last->To, cause);
-      attributeFrom(last->From, last->What);
+      attributeFrom(last->From, last->SegmentCause);
     }
   }
 
@@ -479,8 +479,8 @@
 Cause Account::mainCause() const {
   std::map<Cause, absl::Duration> sums;
   for (const Segment &s : Path)
-    if (s.What != Cause::Working)
-      sums[s.What] += s.length();
+    if (s.SegmentCause != Cause::Working)
+      sums[s.SegmentCause] += s.length();
   auto largest = std::max_element(
       sums.begin(), sums.end(),
       [](const auto &a, const auto &b) { return a.second < b.second; });
@@ -494,12 +494,12 @@
   account.Due = dueAfter(job, site);
   if (job.Ended)
     account.Took = job.EndShown.value_or(*job.Ended) - job.FirstCall;
-  account.What = outcomeOf(job, account.Took, account.Due);
+  account.Result = outcomeOf(job, account.Took, account.Due);
   return account;
 }
 
-std::vector<Waste> wasteOf(const JobHistory &job) {
-  std::vector<Waste> out;
+std::vector<DiscardedWork> discardedWorkOf(const JobHistory &job) {
+  std::vector<DiscardedWork> out;
   for (const auto &[id, runs] : job.Tasks) {
     const auto step = static_cast<size_t>(id.Step);
     if (step >= job.CoresPerTask.size())
@@ -510,8 +510,8 @@
       if (!run.Ended || !run.Started || run.EndState == "done" ||
           run.EndState == "failed" || isSaved(run, job.Checkpoints[step]))
         continue;
-      Waste w{job.Id,     run.Worker, run.EndState, run.StopReason, "",
-              *run.Ended, 0};
+      DiscardedWork w{job.Id,     run.Worker, run.EndState, run.StopReason, "",
+                      *run.Ended, 0};
       if (absl::StartsWith(run.StopReason, CapacityStopPrefix))
         w.ForJob = run.StopReason.substr(CapacityStopPrefix.size());
       w.CoreSeconds =
--- a/src/libs/losses/attribution.h
+++ b/src/libs/losses/attribution.h
@@ -51,7 +51,7 @@
 
 /// A part of a job's time along its critical path.
 struct Segment {
-  Cause What = Cause::Working;
+  Cause SegmentCause = Cause::Working;
   absl::Time From;
   absl::Time To;
 
@@ -93,7 +93,7 @@
 /// it was due, and its critical path.
 struct Account {
   std::string Job;
-  Outcome What = Outcome::Open;
+  Outcome Result = Outcome::Open;
   absl::Duration Took = absl::ZeroDuration();
   absl::Duration Due = absl::ZeroDuration();
   std::vector<Segment> Path;
@@ -110,7 +110,7 @@
 Account accountOf(const JobHistory &job, const SiteHistory &site);
 
 /// Discarded work of one run.
-struct Waste {
+struct DiscardedWork {
   std::string Job;
   std::string Worker;
   /// How the run ended, and the reason why it was stopped.
@@ -122,12 +122,12 @@
   absl::Time At;
   double CoreSeconds = 0;
 
-  bool operator==(const Waste &) const = default;
+  bool operator==(const DiscardedWork &) const = default;
 };
 
 /// Returns all runs of the job whose work was not used. A run that was stopped
 /// in an orderly way and that saves its progress resumes elsewhere, so that
 /// none of its work is lost.
-std::vector<Waste> wasteOf(const JobHistory &job);
+std::vector<DiscardedWork> discardedWorkOf(const JobHistory &job);
 
 } // namespace oriolebay::losses
--- a/src/libs/losses/lossreport.cpp
+++ b/src/libs/losses/lossreport.cpp
@@ -22,19 +22,19 @@
 void distributeLateness(const Account &account, Group &group) {
   absl::Duration timeBesidesWork = absl::ZeroDuration();
   for (const Segment &s : account.Path)
-    if (s.What != Cause::Working)
+    if (s.SegmentCause != Cause::Working)
       timeBesidesWork += s.length();
   if (timeBesidesWork <= absl::ZeroDuration())
     return;
   const double latenessPerTime =
       absl::FDivDuration(account.lateness(), timeBesidesWork);
   for (const Segment &s : account.Path)
-    if (s.What != Cause::Working)
-      group.LatenessByCause[s.What] += s.length() * latenessPerTime;
+    if (s.SegmentCause != Cause::Working)
+      group.LatenessByCause[s.SegmentCause] += s.length() * latenessPerTime;
 }
 
 /// Returns the reason why a run's work was discarded, without the ids in it.
-std::string discardReason(const Waste &w, const SiteHistory &site) {
+std::string discardReason(const DiscardedWork &w, const SiteHistory &site) {
   if (!w.ForJob.empty()) {
     auto job = site.Jobs.find(w.ForJob);
     const int priority = job == site.Jobs.end() ? 0 : job->second.Priority;
@@ -44,8 +44,8 @@
 }
 
 void addToGroup(const Account &account, Group &group) {
-  ++group.Jobs[account.What];
-  if (account.What == Outcome::Late || account.What == Outcome::Worthless)
+  ++group.Jobs[account.Result];
+  if (account.Result == Outcome::Late || account.Result == Outcome::Worthless)
     distributeLateness(account, group);
 }
 
@@ -85,8 +85,8 @@
 std::string pathText(const Account &account) {
   std::string out;
   for (const Segment &s : account.Path)
-    absl::StrAppend(&out, out.empty() ? "" : " ", causeName(s.What), "=",
-                    absl::StrFormat("%.2f", seconds(s.length())));
+    absl::StrAppend(&out, out.empty() ? "" : " ", causeName(s.SegmentCause),
+                    "=", absl::StrFormat("%.2f", seconds(s.length())));
   return out;
 }
 
@@ -149,12 +149,12 @@
           &losses.ByOrganisation[job.Organisation],
           &losses.ByDomain[job.Domain], &losses.ByWindow[second]}) {
       addToGroup(account, *group);
-      for (const Waste &w : wasteOf(job))
+      for (const DiscardedWork &w : discardedWorkOf(job))
         group->DiscardedCoreSeconds += w.CoreSeconds;
     }
-    for (const Waste &w : wasteOf(job))
-      losses.WasteBy[discardReason(w, site)] += w.CoreSeconds;
-    if (account.What != Outcome::InTime && isOwed(account.What))
+    for (const DiscardedWork &w : discardedWorkOf(job))
+      losses.DiscardedWorkByReason[discardReason(w, site)] += w.CoreSeconds;
+    if (account.Result != Outcome::InTime && isOwed(account.Result))
       losses.Lost.push_back(account);
   }
   std::sort(losses.Lost.begin(), losses.Lost.end(),
@@ -175,7 +175,7 @@
   printGroups("from second", losses.ByWindow, out);
   printCauses(losses.All, out);
   out << "\nthrown away, core-seconds\n";
-  for (const auto &[why, coreSeconds] : losses.WasteBy)
+  for (const auto &[why, coreSeconds] : losses.DiscardedWorkByReason)
     out << absl::StrFormat("  %-50s %8.0f\n", why, coreSeconds);
   out << "\njobs that were lost or late\n";
   for (const Account &a : losses.Lost) {
@@ -183,7 +183,7 @@
     out << absl::StrFormat(
         "%8.2f %s %s priority=%d %s due=%.2f took=%.2f %s%s\n",
         seconds(job.FirstCall - site.From), a.Job, job.Queue, job.Priority,
-        outcomeName(a.What), seconds(a.Due), seconds(a.Took), pathText(a),
+        outcomeName(a.Result), seconds(a.Due), seconds(a.Took), pathText(a),
         job.Accepted ? "" : absl::StrCat(job.CallResult, ": ", job.CallReason));
   }
 }
@@ -194,7 +194,7 @@
     const JobHistory &job = site.Jobs.at(a.Job);
     nlohmann::json path = nlohmann::json::array();
     for (const Segment &s : a.Path)
-      path.push_back({{"cause", causeName(s.What)},
+      path.push_back({{"cause", causeName(s.SegmentCause)},
                       {"from_s", toRoundedSeconds(s.From - site.From)},
                       {"to_s", toRoundedSeconds(s.To - site.From)}});
     lost.push_back({{"job", a.Job},
@@ -202,7 +202,7 @@
                     {"organisation", job.Organisation},
                     {"domain", job.Domain},
                     {"priority", job.Priority},
-                    {"outcome", outcomeName(a.What)},
+                    {"outcome", outcomeName(a.Result)},
                     {"at_s", toRoundedSeconds(job.FirstCall - site.From)},
                     {"due_s", toRoundedSeconds(a.Due)},
                     {"took_s", toRoundedSeconds(a.Took)},
@@ -216,7 +216,7 @@
           {"by_organisation", groupsJson(losses.ByOrganisation)},
           {"by_domain", groupsJson(losses.ByDomain)},
           {"by_window", groupsJson(losses.ByWindow)},
-          {"waste_core_s_by_reason", losses.WasteBy},
+          {"waste_core_s_by_reason", losses.DiscardedWorkByReason},
           {"lost", lost}};
 }
 
@@ -243,7 +243,8 @@
           "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" "
           "fill=\"%s\"><title>%s %.2f s</title></rect>\n",
           x(s.From), y, std::max(0.5, x(s.To) - x(s.From)), Row - 4,
-          colourOf(s.What), causeName(s.What), seconds(s.length()));
+          colourOf(s.SegmentCause), causeName(s.SegmentCause),
+          seconds(s.length()));
     const absl::Time due = site.Jobs.at(a.Job).FirstCall + a.Due;
     out << absl::StrFormat("<line x1=\"%.1f\" x2=\"%.1f\" y1=\"%d\" y2=\"%d\" "
                            "stroke=\"black\"/>\n",
--- a/src/libs/losses/lossreport.h
+++ b/src/libs/losses/lossreport.h
@@ -37,7 +37,7 @@
   /// in the order of their first call.
   std::vector<Account> Lost;
   /// Core-seconds of discarded work by the reason why the runs ended.
-  std::map<std::string, double> WasteBy;
+  std::map<std::string, double> DiscardedWorkByReason;
 
   bool operator==(const Losses &) const = default;
 };
--- a/src/libs/metrics/processmetrics.cpp
+++ b/src/libs/metrics/processmetrics.cpp
@@ -58,36 +58,36 @@
       LinesLeftOut(counter(Registry, "oriolebay_log_lines_left_out_total",
                            "Log lines left out for their rate.")) {}
 
-void ProcessMetrics::callAnswered(const std::string &call,
-                                  const std::string &result,
-                                  absl::Duration duration) {
+void ProcessMetrics::recordCall(const std::string &call,
+                                const std::string &result,
+                                absl::Duration duration) {
   Calls.Add({{"call", call}, {"result", result}}).Increment();
   CallSeconds.Add({{"call", call}}, CallBuckets)
       .Observe(absl::ToDoubleSeconds(duration));
 }
 
-void ProcessMetrics::storeCalled(const std::string &call,
-                                 const std::string &status,
-                                 absl::Duration duration) {
+void ProcessMetrics::recordStoreCall(const std::string &call,
+                                     const std::string &status,
+                                     absl::Duration duration) {
   StoreCalls.Add({{"call", call}, {"status", status}}).Increment();
   StoreSeconds.Add({{"call", call}}, CallBuckets)
       .Observe(absl::ToDoubleSeconds(duration));
 }
 
-void ProcessMetrics::runPlaced(int rank, absl::Duration waitTime) {
+void ProcessMetrics::recordRunPlaced(int rank, absl::Duration waitTime) {
   PlacementSeconds.Add({{"rank", std::to_string(rank)}}, JobBuckets)
       .Observe(absl::ToDoubleSeconds(waitTime));
 }
 
-void ProcessMetrics::jobEnded(const std::string &state, int priority,
-                              absl::Duration duration) {
+void ProcessMetrics::recordJobEnded(const std::string &state, int priority,
+                                    absl::Duration duration) {
   JobSeconds
       .Add({{"state", state}, {"priority", std::to_string(priority)}},
            JobBuckets)
       .Observe(absl::ToDoubleSeconds(duration));
 }
 
-void ProcessMetrics::orderConcluded(const std::string &outcome) {
+void ProcessMetrics::recordOrderOutcome(const std::string &outcome) {
   Orders.Add({{"outcome", outcome}}).Increment();
 }
 
@@ -104,7 +104,7 @@
 void ProcessMetrics::countEvents() {
   for (const auto &[event, total] : eventlog::eventCounts())
     increaseTo(Events.Add({{"event", eventlog::eventName(event)}}), total);
-  increaseTo(LinesLeftOut.Add({}), eventlog::linesLeftOut());
+  increaseTo(LinesLeftOut.Add({}), eventlog::droppedLineCount());
 }
 
 std::string ProcessMetrics::text() {
--- a/src/libs/metrics/processmetrics.h
+++ b/src/libs/metrics/processmetrics.h
@@ -20,19 +20,19 @@
   ProcessMetrics();
 
   /// Counts a caller's call that was answered.
-  void callAnswered(const std::string &call, const std::string &result,
-                    absl::Duration duration);
+  void recordCall(const std::string &call, const std::string &result,
+                  absl::Duration duration);
   /// Counts a call to the platform's store that was answered or given up on.
-  void storeCalled(const std::string &call, const std::string &status,
-                   absl::Duration duration);
+  void recordStoreCall(const std::string &call, const std::string &status,
+                       absl::Duration duration);
   /// Records that a run was placed, and the time between the acceptance of its
   /// job and the placement.
-  void runPlaced(int rank, absl::Duration waitTime);
+  void recordRunPlaced(int rank, absl::Duration waitTime);
   /// Records that a job ended, and the time between its acceptance and its end.
-  void jobEnded(const std::string &state, int priority,
-                absl::Duration duration);
+  void recordJobEnded(const std::string &state, int priority,
+                      absl::Duration duration);
   /// Counts an order when its outcome is known to the agent.
-  void orderConcluded(const std::string &outcome);
+  void recordOrderOutcome(const std::string &outcome);
 
   void set(const std::string &gauge, const std::string &help, double value);
 
--- a/src/libs/operators/configfollower.cpp
+++ b/src/libs/operators/configfollower.cpp
@@ -74,8 +74,8 @@
     ConfirmedAt = std::max(ConfirmedAt, sentAt);
 }
 
-void ConfigFollower::heardOf(const core::ConfigStamp &newer) {
-  if (newer.Revision <= newestRevision())
+void ConfigFollower::handleNewerConfig(const core::ConfigStamp &newer) {
+  if (newer.Revision <= newestKnownRevision())
     return;
   NewestKnownRevision = newer.Revision;
   NotifyOutdated(newer);
@@ -83,7 +83,7 @@
 }
 
 void ConfigFollower::scheduleConfirmation() {
-  Loop.runAfter(Source.ConfirmEvery, [this, alive = Alive] {
+  Loop.runAfter(Source.ConfirmInterval, [this, alive = Alive] {
     if (!*alive)
       return;
     confirm([this, alive](bool) {
--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -27,7 +27,7 @@
       Decode;
   /// Interval at which the local view is confirmed while the watch reports no
   /// changes.
-  absl::Duration ConfirmEvery = absl::Milliseconds(600);
+  absl::Duration ConfirmInterval = absl::Milliseconds(600);
   platform::FollowTiming Follow;
 };
 
@@ -71,13 +71,13 @@
   /// newer identifies. If it is newer than the one in force here, no call may
   /// be served with the latter any more, and the store is asked for the newest
   /// one.
-  void heardOf(const core::ConfigStamp &newer);
+  void handleNewerConfig(const core::ConfigStamp &newer);
   /// Returns whether a newer configuration than the one in force here is known
   /// to exist.
-  bool outdated() const { return Revision < NewestKnownRevision; }
+  bool isOutdated() const { return Revision < NewestKnownRevision; }
   /// Returns the store's revision of the newest configuration that is known to
   /// exist.
-  int64_t newestRevision() const {
+  int64_t newestKnownRevision() const {
     return std::max(Revision, NewestKnownRevision);
   }
   /// Returns the condition for transactions that depend on the configuration
--- a/src/libs/platform/kvclient.cpp
+++ b/src/libs/platform/kvclient.cpp
@@ -80,10 +80,10 @@
   // The store may have applied a write although the answer is missing or has a
   // 5xx status. The caller must treat the outcome as unknown, not as "not
   // written".
-  if (!res.answered() || res.Status >= 500)
+  if (!res.hasAnswer() || res.Status >= 500)
     return utils::fail(ErrorKind::StoreUnavailable,
                        "store call " + path + " failed: " +
-                           (res.answered() ? res.Body : res.Error),
+                           (res.hasAnswer() ? res.Body : res.Error),
                        "retry later; the store may be down or slow");
   if (res.Status != 200)
     return utils::fail(ErrorKind::StoreBadReply,
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -141,22 +141,22 @@
 
 Timing deriveTiming(const NodeSettings &s) {
   Timing t;
-  t.ReportEvery = absl::Milliseconds(s.HeartbeatMs) / ReportsPerHeartbeat;
-  t.UnresponsiveAfter = ReportsPerHeartbeat * t.ReportEvery;
-  t.Grant = absl::Milliseconds(s.Bounds.HoldMaxMs) - t.ReportEvery;
+  t.ReportInterval = absl::Milliseconds(s.HeartbeatMs) / ReportsPerHeartbeat;
+  t.UnresponsiveAfter = ReportsPerHeartbeat * t.ReportInterval;
+  t.Grant = absl::Milliseconds(s.Bounds.HoldMaxMs) - t.ReportInterval;
   t.GrantWithoutStore = 2 * absl::Milliseconds(s.Bounds.HoldMaxMs);
-  t.GrantOverAfter = t.Grant * WorkerClockFactor + MaxCallDelay;
+  t.GrantExpiredAfter = t.Grant * WorkerClockFactor + MaxCallDelay;
   t.LeaderLease = std::max(absl::Milliseconds(s.Bounds.LeaseMs) * 2 / 3,
                            absl::Milliseconds(s.StoreMinLeaseMs));
-  t.ConfirmEvery = absl::Milliseconds(s.Bounds.ConfigApplyMs) * 3 / 10;
-  t.FreshConfig = t.ConfirmEvery * 4 / 3;
+  t.ConfirmInterval = absl::Milliseconds(s.Bounds.ConfigApplyMs) * 3 / 10;
+  t.MaxConfirmedConfigAge = t.ConfirmInterval * 4 / 3;
   t.MaxConfigAge = absl::Milliseconds(s.Bounds.RevokeMs) / 2;
   t.NotReadyAfter = absl::Milliseconds(s.Bounds.ConfigApplyMs);
   t.ReclaimAfter =
       std::max(absl::Milliseconds(s.Bounds.ReclaimMs - s.Bounds.StopGraceMs) -
                    MaxStopToStartDelay,
                absl::ZeroDuration());
-  t.LeaveBy = absl::Milliseconds(s.Bounds.TermGraceMs) - ShutdownMargin;
+  t.MaxShutdownTime = absl::Milliseconds(s.Bounds.TermGraceMs) - ShutdownMargin;
   return t;
 }
 
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -78,7 +78,7 @@
   /// Interval at which agents report to the leader. It is a third of the
   /// heartbeat period, so that two reports may be lost before a worker counts
   /// as unresponsive.
-  absl::Duration ReportEvery;
+  absl::Duration ReportInterval;
   /// A worker gets no new work when its agent has sent no report for this long,
   /// which is three report intervals.
   absl::Duration UnresponsiveAfter;
@@ -92,13 +92,13 @@
   absl::Duration GrantWithoutStore;
   /// Time after which a grant has certainly ended. It allows for a worker's
   /// clock that is 2% slow and for a call that is still in flight.
-  absl::Duration GrantOverAfter;
+  absl::Duration GrantExpiredAfter;
   absl::Duration LeaderLease;
   /// Interval at which the configuration is confirmed. It is short enough that
   /// a change is in force in time even if one answer is lost.
-  absl::Duration ConfirmEvery;
+  absl::Duration ConfirmInterval;
   /// Maximum age of a view of the configuration that was confirmed in time.
-  absl::Duration FreshConfig;
+  absl::Duration MaxConfirmedConfigAge;
   /// Maximum age of a view of the configuration. Calls are not served with
   /// older views.
   absl::Duration MaxConfigAge;
@@ -109,7 +109,7 @@
   /// the store and the start take place in the rest of the bound.
   absl::Duration ReclaimAfter;
   /// Maximum time that a process takes to stop.
-  absl::Duration LeaveBy;
+  absl::Duration MaxShutdownTime;
 };
 Timing deriveTiming(const NodeSettings &settings);
 
--- a/tests/auto/adapter/tst_calleradapter.cpp
+++ b/tests/auto/adapter/tst_calleradapter.cpp
@@ -72,7 +72,7 @@
   EXPECT_EQ(step.NeedsLabel, "a");
   EXPECT_EQ(step.DataRack, "r1-1");
   EXPECT_EQ(step.MaxPerWorker, 2);
-  EXPECT_EQ(step.MayMiss, 1);
+  EXPECT_EQ(step.MaxUnavailable, 1);
 }
 
 struct ConfigCase {
--- a/tests/auto/cluster/memoryworker.cpp
+++ b/tests/auto/cluster/memoryworker.cpp
@@ -155,9 +155,9 @@
                                 " was started after its end was acknowledged");
   if (!Shared.Running[key.first].empty())
     Shared.Violations.push_back(key.first + " runs twice");
-  core::Resources used = Shared.StepOf(key.first).room();
+  core::Resources used = Shared.StepOf(key.first).taskResources();
   for (const auto &[k, run] : Runs)
-    used += Shared.StepOf(k.first).room();
+    used += Shared.StepOf(k.first).taskResources();
   if (!used.fitsIn(enforcedCapacity()))
     Shared.Violations.push_back(State.Life.Id + " runs more than its capacity");
   countStart(key.first);
--- a/tests/auto/eventlog/tst_eventlog.cpp
+++ b/tests/auto/eventlog/tst_eventlog.cpp
@@ -72,7 +72,7 @@
   for (int round = 0; round < 100; ++round)
     for (const EventInfo &info : allEvents())
       logEvent(info.Number, {{"text", std::string(200, 'x')}});
-  EXPECT_GT(linesLeftOut(), 0);
+  EXPECT_GT(droppedLineCount(), 0);
   closeEventLog();
   ::unlink(path.c_str());
 }
--- a/tests/auto/eventlog/tst_timeline.cpp
+++ b/tests/auto/eventlog/tst_timeline.cpp
@@ -32,10 +32,10 @@
   const std::string path =
       ::testing::TempDir() + "oriolebay-logs-" + std::to_string(::getpid());
   std::ofstream(path) << Logs;
-  const ReadEvents read = readEvents({path});
+  const LogContents read = readEvents({path});
   ::unlink(path.c_str());
   if (skipped != nullptr)
-    *skipped = read.Skipped;
+    *skipped = read.SkippedLines;
   return read.Events;
 }
 
@@ -62,9 +62,10 @@
 // Guards against a time line that silently lacks the events of a process
 // because the name of its log file was misspelt.
 TEST(Timeline, UnreadableFilesAreReported) {
-  const ReadEvents read = readEvents({"/no/such/file.log"});
+  const LogContents read = readEvents({"/no/such/file.log"});
   EXPECT_TRUE(read.Events.empty());
-  EXPECT_EQ(read.Unreadable, std::vector<std::string>{"/no/such/file.log"});
+  EXPECT_EQ(read.UnreadableFiles,
+            std::vector<std::string>{"/no/such/file.log"});
 }
 
 struct FilterCase {
@@ -98,11 +99,11 @@
 
 TEST(JobTimeline, HasOnlyEventsThatConcernTheJob) {
   EXPECT_EQ(
-      names(storyOf("j1", sample())),
+      names(eventsOfJob("j1", sample())),
       (std::vector<std::string>{"call.answered", "run.placed",
                                 "order.carried_out", "worker.unreachable",
                                 "store.lost", "run.stopping", "run.ended"}));
-  EXPECT_TRUE(storyOf("j3", sample()).empty());
+  EXPECT_TRUE(eventsOfJob("j3", sample()).empty());
 }
 
 // Guards against a job's time line that consists mostly of failed store calls:
@@ -124,7 +125,7 @@
   add(6100, "e1", "store.call_failed");
   add(12000, "e2", "store.call_failed");
   add(13000, "e1", "job.ended", "j1");
-  EXPECT_EQ(names(storyOf("j1", events)),
+  EXPECT_EQ(names(eventsOfJob("j1", events)),
             (std::vector<std::string>{"call.answered", "store.call_failed",
                                       "store.call_failed", "store.regained",
                                       "store.call_failed", "store.call_failed",
--- a/tests/auto/jobs/simsite.cpp
+++ b/tests/auto/jobs/simsite.cpp
@@ -366,7 +366,7 @@
 void SimSite::checkCapacity(const Worker &worker) {
   core::Resources used;
   for (const auto &[key, run] : worker.Runs)
-    used += stepOf(taskIdOf(key.Task)).room();
+    used += stepOf(taskIdOf(key.Task)).taskResources();
   if (!used.fitsIn(worker.State.Capacity))
     Violations.push_back(worker.State.Life.Id + " runs more than its capacity");
 }
--- a/tests/auto/losses/tst_losses.cpp
+++ b/tests/auto/losses/tst_losses.cpp
@@ -15,7 +15,7 @@
   const std::string path =
       ::testing::TempDir() + "oriolebay-losses-" + std::to_string(::getpid());
   std::ofstream(path) << text;
-  const eventlog::ReadEvents read = eventlog::readEvents({path});
+  const eventlog::LogContents read = eventlog::readEvents({path});
   ::unlink(path.c_str());
   return historyOf(read.Events);
 }
@@ -79,8 +79,8 @@
 std::string pathText(const SiteHistory &site, const std::string &job) {
   std::ostringstream out;
   for (const Segment &s : criticalPath(site.Jobs.at(job), site))
-    out << causeName(s.What) << '=' << absl::ToInt64Milliseconds(s.length())
-        << ' ';
+    out << causeName(s.SegmentCause) << '='
+        << absl::ToInt64Milliseconds(s.length()) << ' ';
   return out.str();
 }
 
@@ -101,7 +101,7 @@
   const SiteHistory site = historyIn(GetParam().Log);
   EXPECT_EQ(pathText(site, "j"), GetParam().Path);
   const Account account = accountOf(site.Jobs.at("j"), site);
-  EXPECT_STREQ(outcomeName(account.What), outcomeName(GetParam().Expected));
+  EXPECT_STREQ(outcomeName(account.Result), outcomeName(GetParam().Expected));
   absl::Time at = site.Jobs.at("j").FirstCall;
   for (const Segment &s : account.Path) {
     EXPECT_EQ(s.From, at);
@@ -264,7 +264,7 @@
   const SiteHistory site = historyIn(log);
   const Account account = accountOf(site.Jobs.at("j"), site);
   EXPECT_NEAR(absl::ToDoubleSeconds(account.Due), 1.75, 0.1);
-  EXPECT_EQ(account.What, Outcome::Late);
+  EXPECT_EQ(account.Result, Outcome::Late);
 }
 
 TEST(Losses, LostWorkIsAttributedToTheJobItWasDiscardedFor) {
@@ -276,15 +276,16 @@
       submitEvent(3000, "j", "ok", 0) + deadlineEvent(3000, "j") +
       runEvent(3000, "stopping", "b.0.0.0", 1, "makes room for job j") +
       runEvent(3000, "ended", "b.0.0.0", 1, "stopped"));
-  const std::vector<Waste> waste = wasteOf(site.Jobs.at("b"));
+  const std::vector<DiscardedWork> waste = discardedWorkOf(site.Jobs.at("b"));
   ASSERT_EQ(waste.size(), 1u);
   EXPECT_EQ(waste[0].ForJob, "j");
   // Two cores and one accelerator, which counts as eight cores, for two
   // seconds.
   EXPECT_DOUBLE_EQ(waste[0].CoreSeconds, 20);
   const Losses losses = lossesOf(site);
-  EXPECT_EQ(losses.WasteBy, (std::map<std::string, double>{
-                                {"made room for priority 0", 20.0}}));
+  EXPECT_EQ(
+      losses.DiscardedWorkByReason,
+      (std::map<std::string, double>{{"made room for priority 0", 20.0}}));
 }
 
 TEST(Losses, ReportsNameLateAndRefusedJobsWithTheirCauses) {
@@ -299,7 +300,7 @@
   EXPECT_EQ(losses.All.owed(), 2);
   ASSERT_EQ(losses.Lost.size(), 2u);
   EXPECT_EQ(losses.Lost[0].mainCause(), Cause::Showing);
-  EXPECT_EQ(losses.Lost[1].What, Outcome::Refused);
+  EXPECT_EQ(losses.Lost[1].Result, Outcome::Refused);
   const nlohmann::json json = toJson(losses, site);
   EXPECT_EQ(json["lost"][0]["main_cause"], "showing");
   EXPECT_EQ(json["lost"][1]["call_why"], "no store");
--- a/tests/auto/metrics/tst_metrics.cpp
+++ b/tests/auto/metrics/tst_metrics.cpp
@@ -35,9 +35,9 @@
 const TextCase TextCases[] = {
     {"calls",
      [](ProcessMetrics &m) {
-       m.callAnswered("submit", "ok", absl::Milliseconds(20));
-       m.callAnswered("submit", "ok", absl::Milliseconds(70));
-       m.callAnswered("submit", "not_done", absl::Seconds(2));
+       m.recordCall("submit", "ok", absl::Milliseconds(20));
+       m.recordCall("submit", "ok", absl::Milliseconds(70));
+       m.recordCall("submit", "not_done", absl::Seconds(2));
      },
      {R"(oriolebay_calls_total{call="submit",result="ok"} 2)",
       R"(oriolebay_calls_total{call="submit",result="not_done"} 1)",
@@ -46,21 +46,21 @@
       R"(oriolebay_call_duration_seconds_bucket{call="submit",le="1"} 2)"}},
     {"store",
      [](ProcessMetrics &m) {
-       m.storeCalled("get", "unknown", absl::Milliseconds(700));
+       m.recordStoreCall("get", "unknown", absl::Milliseconds(700));
      },
      {R"(oriolebay_store_calls_total{call="get",status="unknown"} 1)",
       R"(oriolebay_store_call_duration_seconds_bucket{call="get",le="0.5"} 0)",
       R"(oriolebay_store_call_duration_seconds_bucket{call="get",le="1"} 1)"}},
     {"jobs",
      [](ProcessMetrics &m) {
-       m.runPlaced(1, absl::Milliseconds(300));
-       m.jobEnded("completed", 0, absl::Seconds(3));
+       m.recordRunPlaced(1, absl::Milliseconds(300));
+       m.recordJobEnded("completed", 0, absl::Seconds(3));
      },
      {R"(oriolebay_placement_wait_seconds_bucket{rank="1",le="0.25"} 0)",
       R"(oriolebay_placement_wait_seconds_bucket{rank="1",le="0.5"} 1)",
       R"(oriolebay_job_duration_seconds_count{priority="0",state="completed"} 1)"}},
     {"orders",
-     [](ProcessMetrics &m) { m.orderConcluded("started"); },
+     [](ProcessMetrics &m) { m.recordOrderOutcome("started"); },
      {R"(oriolebay_orders_total{outcome="started"} 1)"}},
     {"gauges_hold_the_last_value",
      [](ProcessMetrics &m) {
--- a/tests/auto/settings/tst_nodesettings.cpp
+++ b/tests/auto/settings/tst_nodesettings.cpp
@@ -118,27 +118,28 @@
   // worker allows.
   EXPECT_LE(t.Grant, absl::Milliseconds(siteBounds.HoldMaxMs));
   // A grant remains valid when two reports in a row are lost.
-  EXPECT_GE(t.Grant, 2 * t.ReportEvery);
+  EXPECT_GE(t.Grant, 2 * t.ReportInterval);
   // Tasks are considered ended only after they have ended, also if the clock is
   // 2% slow.
-  EXPECT_GE(t.GrantOverAfter, t.Grant * 1.02);
+  EXPECT_GE(t.GrantExpiredAfter, t.Grant * 1.02);
   // The lease of a replaced leader has expired before another process may act
   // on the same tasks.
   EXPECT_LT(t.LeaderLease, absl::Milliseconds(siteBounds.LeaseMs));
   // A view of the configuration that serves calls is confirmed again before it
   // is too old, also if one answer is lost. A view that is too old is no longer
   // used well before a revoked key has to be rejected.
-  EXPECT_LE(2 * t.ConfirmEvery, t.MaxConfigAge);
+  EXPECT_LE(2 * t.ConfirmInterval, t.MaxConfigAge);
   EXPECT_LE(t.MaxConfigAge, absl::Milliseconds(siteBounds.RevokeMs) / 2);
-  EXPECT_LE(t.ConfirmEvery * 3, absl::Milliseconds(siteBounds.ConfigApplyMs));
+  EXPECT_LE(t.ConfirmInterval * 3,
+            absl::Milliseconds(siteBounds.ConfigApplyMs));
   // A view that was confirmed in time counts as fresh. Otherwise an entry
   // forwards calls that it could serve itself.
-  EXPECT_GT(t.FreshConfig, t.ConfirmEvery);
-  EXPECT_LT(t.FreshConfig, t.MaxConfigAge);
+  EXPECT_GT(t.MaxConfirmedConfigAge, t.ConfirmInterval);
+  EXPECT_LT(t.MaxConfirmedConfigAge, t.MaxConfigAge);
   // Capacity is reclaimed early enough for the stop to end within the bound.
   EXPECT_LT(t.ReclaimAfter + absl::Milliseconds(siteBounds.StopGraceMs),
             absl::Milliseconds(siteBounds.ReclaimMs));
-  EXPECT_LT(t.LeaveBy, absl::Milliseconds(siteBounds.TermGraceMs));
+  EXPECT_LT(t.MaxShutdownTime, absl::Milliseconds(siteBounds.TermGraceMs));
 }
 
 INSTANTIATE_TEST_SUITE_P(
