--- a/tests/auto/callers/tst_callerapi.cpp
+++ b/tests/auto/callers/tst_callerapi.cpp
@@ -128,7 +128,7 @@
                  400},
         CallCase{"unknown path", "GET", "/v2/jobs", "", {}, true, 404}),
     [](const auto &info) {
-      return testnames::storyName(info.param.Description);
+      return testnames::testNameFrom(info.param.Description);
     });
 
 } // namespace
--- a/tests/auto/jobs/simsite.cpp
+++ b/tests/auto/jobs/simsite.cpp
@@ -143,7 +143,7 @@
         task + " was started three times after it had crashed three workers");
 }
 
-void SimSite::leave(const std::string &incarnation, absl::Duration notice) {
+void SimSite::drain(const std::string &incarnation, absl::Duration notice) {
   auto it = Workers.find(incarnation);
   if (it == Workers.end())
     return;
@@ -308,9 +308,8 @@
       rate /= Policy.RemoteFactor;
     run.WorkDone += absl::Milliseconds(StepMs) * rate;
     if (run.WorkDone >= run.RequiredWork)
-      ends.emplace_back(key, FailsItself && FailsItself(id, key.Run)
-                                 ? RunEnd::Failed
-                                 : RunEnd::Done);
+      ends.emplace_back(key, RunFails && RunFails(id, key.Run) ? RunEnd::Failed
+                                                               : RunEnd::Done);
   }
   for (const auto &[key, how] : ends)
     endRun(worker, key, how);
@@ -407,7 +406,7 @@
     run.Order = start;
     run.StartedAt = Now;
     run.RequiredWork =
-        Work ? Work(id, spec) : absl::Milliseconds(spec.EstimateMs);
+        WorkTime ? WorkTime(id, spec) : absl::Milliseconds(spec.EstimateMs);
     if (!start.Saved.empty()) {
       run.WorkDone = absl::Milliseconds(std::stoll(start.Saved));
       run.RequiredWork += absl::Milliseconds(RestoreMs);
@@ -501,7 +500,7 @@
   for (auto &[incarnation, worker] : Workers)
     if (reportDue || !worker.Ended.empty())
       sendReport(worker);
-  if (ms % TickEveryMs == 0)
+  if (ms % TickIntervalMs == 0)
     Scheduler->tick(Now);
   exchangeMessages();
 }
@@ -544,7 +543,8 @@
   return *job.FirstStartAt - job.SubmittedAt;
 }
 
-std::optional<absl::Duration> SimSite::took(const std::string &jobId) const {
+std::optional<absl::Duration>
+SimSite::turnaroundTime(const std::string &jobId) const {
   const StoredJob &job = Jobs.at(jobId);
   if (!job.EndedAt)
     return std::nullopt;
--- a/tests/auto/jobs/simsite.h
+++ b/tests/auto/jobs/simsite.h
@@ -78,7 +78,7 @@
   void setCapacity(const std::string &incarnation, core::Resources capacity);
   /// Lets the worker report that it drains, and shuts it down after notice
   /// together with everything that still runs there.
-  void leave(const std::string &incarnation, absl::Duration notice);
+  void drain(const std::string &incarnation, absl::Duration notice);
 
   void configure(core::SiteConfig config);
   /// Submits a job, as an entry would store it.
@@ -98,12 +98,12 @@
   JobState state(const std::string &jobId) const;
   /// Time from the submission of a job to its first start, and to its end.
   std::optional<absl::Duration> waitTime(const std::string &jobId) const;
-  std::optional<absl::Duration> took(const std::string &jobId) const;
+  std::optional<absl::Duration> turnaroundTime(const std::string &jobId) const;
   /// The workers on which tasks of a job run now, one item a task.
   std::multiset<std::string> workersOf(const std::string &jobId) const;
   /// Core-seconds of work that was discarded by stops or lost with workers. An
   /// accelerator counts as eight cores.
-  double wasted() const { return LostWork; }
+  double lostWork() const { return LostWork; }
   int starts() const { return Starts; }
   /// Number of worker crashes that the task has caused.
   int crashesCausedBy(const std::string &task) const;
@@ -111,10 +111,10 @@
 
   /// Returns the time that a task has to work. The default is its estimate.
   std::function<absl::Duration(const core::TaskId &, const core::StepSpec &)>
-      Work;
+      WorkTime;
   /// Returns whether this run fails for a reason of its own rather than of its
   /// worker.
-  std::function<bool(const core::TaskId &, int64_t run)> FailsItself;
+  std::function<bool(const core::TaskId &, int64_t run)> RunFails;
   /// Returns whether the task crashes each worker that starts it. The crash
   /// comes CrashDelay after the start.
   std::function<bool(const core::TaskId &)> CrashesWorker;
@@ -132,7 +132,7 @@
   static constexpr int StepMs = 10;
   static constexpr int ReportIntervalMs = 500;
   /// Interval at which the scheduler's timers are served.
-  int TickEveryMs = StepMs;
+  int TickIntervalMs = StepMs;
   /// Time from the order to stop a run until its end.
   absl::Duration StopDuration = absl::Milliseconds(200);
   /// The same by task, if it differs between tasks.
--- a/tests/auto/jobs/tst_jobscheduler.cpp
+++ b/tests/auto/jobs/tst_jobscheduler.cpp
@@ -41,8 +41,8 @@
   EXPECT_EQ(site.workersOf("j").size(), 4u);
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(10)));
   EXPECT_EQ(site.state("j"), JobState::Completed);
-  EXPECT_GE(*site.took("j"), absl::Milliseconds(2900));
-  EXPECT_LE(*site.took("j"), absl::Milliseconds(3100));
+  EXPECT_GE(*site.turnaroundTime("j"), absl::Milliseconds(2900));
+  EXPECT_LE(*site.turnaroundTime("j"), absl::Milliseconds(3100));
   EXPECT_TRUE(site.violations().empty()) << site.violations().front();
 }
 
@@ -98,7 +98,7 @@
   site.runFor(absl::Milliseconds(50));
   ASSERT_EQ(starts(), 1);
   const std::string workerId = site.Log.back().Worker;
-  site.leave(workerId, absl::Seconds(20));
+  site.drain(workerId, absl::Seconds(20));
   site.runFor(absl::Seconds(2));
   EXPECT_EQ(starts(), 1);
   for (const char *each : {"w00", "w01", "w02"})
@@ -185,7 +185,7 @@
   site.runFor(absl::Milliseconds(600));
   site.submit(jobOf("j", step(1, {1000, 100, 8}, 1000)));
   site.runFor(absl::Milliseconds(500));
-  site.TickEveryMs = 10000;
+  site.TickIntervalMs = 10000;
   site.setCapacity("w", {32000, 65536, 8});
   EXPECT_EQ(site.workersOf("j").size(), 1u);
 }
@@ -342,7 +342,7 @@
     site.addWorker(workerId, "ra");
   for (const char *workerId : {"b0", "b1"})
     site.addWorker(workerId, "rb");
-  site.FailsItself = [](const core::TaskId &, int64_t run) { return run == 1; };
+  site.RunFails = [](const core::TaskId &, int64_t run) { return run == 1; };
   site.runFor(absl::Milliseconds(600));
   site.submit(jobOf("g", step(3, {1000, 100, 8}, 1000, true, true)));
   site.runFor(absl::Milliseconds(1800));
@@ -392,7 +392,7 @@
   for (const std::string &workerId : idle)
     site.worker(workerId).Partitioned = false;
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-  EXPECT_EQ(site.wasted(), 0);
+  EXPECT_EQ(site.lostWork(), 0);
   EXPECT_LE(*site.waitTime("urgent"), absl::Milliseconds(1500));
 }
 
@@ -603,7 +603,7 @@
   EXPECT_LE(stopped.size(), 2u);
   EXPECT_EQ(site.state("urgent"), JobState::Completed);
   // Four waves of two seconds, times 1.5, plus a quarter of a second.
-  EXPECT_LE(*site.took("urgent"), absl::Milliseconds(12250));
+  EXPECT_LE(*site.turnaroundTime("urgent"), absl::Milliseconds(12250));
 }
 
 // Guards against a small urgent job that misses its deadline needlessly: it has
@@ -624,8 +624,8 @@
   site.runFor(absl::Milliseconds(1300));
   EXPECT_EQ(site.workersOf("small").size(), 1u);
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-  EXPECT_LE(*site.took("small"), absl::Milliseconds(3250));
-  EXPECT_LE(*site.took("wide"), absl::Milliseconds(13750));
+  EXPECT_LE(*site.turnaroundTime("small"), absl::Milliseconds(3250));
+  EXPECT_LE(*site.turnaroundTime("wide"), absl::Milliseconds(13750));
 }
 
 core::StepSpec asGang(core::StepSpec step) {
@@ -708,7 +708,7 @@
   site.submit(jobOf("j", c.Step));
   site.runFor(c.Age);
   ASSERT_EQ(site.starts(), c.Step.Count);
-  site.leave(*site.workersOf("j").begin(), absl::Milliseconds(4500));
+  site.drain(*site.workersOf("j").begin(), absl::Milliseconds(4500));
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(40)));
   int stops = 0;
   int resolvedRuns = 0;
@@ -718,7 +718,7 @@
   }
   EXPECT_EQ(stops, c.Stops);
   EXPECT_EQ(resolvedRuns, 0);
-  EXPECT_LE(site.wasted(), c.MaxLostWork * 68);
+  EXPECT_LE(site.lostWork(), c.MaxLostWork * 68);
   EXPECT_TRUE(site.violations().empty()) << site.violations().front();
 }
 
@@ -747,7 +747,7 @@
     site.submit(jobOf("j", step(5, {1000, 1000, 8}, 2000, gang)), 0);
     ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(8))) << gang;
     EXPECT_EQ(site.state("j"), JobState::Completed);
-    EXPECT_LE(*site.took("j"), absl::Seconds(6)) << gang;
+    EXPECT_LE(*site.turnaroundTime("j"), absl::Seconds(6)) << gang;
     EXPECT_TRUE(site.violations().empty()) << site.violations().front();
   }
 }
@@ -761,7 +761,7 @@
     site.worker("w00").Slowness = 6;
     site.submit(jobOf("j", step(5, {1000, 1000, 8}, 4000, gang)), 0);
     ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-    EXPECT_LE(*site.took("j"), absl::Seconds(10)) << gang;
+    EXPECT_LE(*site.turnaroundTime("j"), absl::Seconds(10)) << gang;
     EXPECT_TRUE(site.violations().empty()) << site.violations().front();
   }
 }
@@ -780,7 +780,7 @@
     site.worker(workerId).Slowness = 6;
   site.submit(jobOf("slow", step(1, {1000, 1000, 8}, 3000)), 0);
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-  EXPECT_LE(*site.took("slow"), absl::Seconds(12));
+  EXPECT_LE(*site.turnaroundTime("slow"), absl::Seconds(12));
 }
 
 // Guards against healthy runs that are taken for stalled. Members of a long
@@ -792,7 +792,8 @@
     SimSite site;
     addRacks(site, 3);
     site.worker("w01").Slowness = 1.3;
-    site.Work = [workFactor](const core::TaskId &, const core::StepSpec &spec) {
+    site.WorkTime = [workFactor](const core::TaskId &,
+                                 const core::StepSpec &spec) {
       return absl::Milliseconds(spec.EstimateMs) * workFactor;
     };
     site.submit(jobOf("gang", step(6, {1000, 1000, 8}, 4000, true)));
--- a/tests/auto/placement/tst_clusterstate.cpp
+++ b/tests/auto/placement/tst_clusterstate.cpp
@@ -131,7 +131,7 @@
                       }(),
                       NotRunReason::UnknownProfile}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Description);
+      return oriolebay::testnames::testNameFrom(info.param.Description);
     });
 
 // Guards against a profile that is reverted: an operator writes version 3, and
--- a/tests/auto/placement/tst_placer.cpp
+++ b/tests/auto/placement/tst_placer.cpp
@@ -120,7 +120,7 @@
                                  {2, 8, 0},
                                  {"rb"}}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Name);
+      return oriolebay::testnames::testNameFrom(info.param.Name);
     });
 
 // Fragmentation is the share of the free accelerators that members of the given
--- a/tests/auto/platform/tst_platform.cpp
+++ b/tests/auto/platform/tst_platform.cpp
@@ -85,7 +85,7 @@
                     StoreCase{"lost reply", R"({"lose_replies":1})", false,
                               true}),
     [](const auto &info) {
-      return testnames::storyName(info.param.Description);
+      return testnames::testNameFrom(info.param.Description);
     });
 
 // Guards against a new leader that starts gangs again which a previous leader
--- a/tests/auto/settings/tst_nodesettings.cpp
+++ b/tests/auto/settings/tst_nodesettings.cpp
@@ -80,7 +80,7 @@
                     settingsWith(R"("bounds":{"remote_factor":0.5})"),
                     "remote_factor"}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Description);
+      return oriolebay::testnames::testNameFrom(info.param.Description);
     });
 
 struct SiteCase {
--- a/tests/auto/settings/tst_settings.cpp
+++ b/tests/auto/settings/tst_settings.cpp
@@ -62,7 +62,7 @@
         InvalidCase{"unknown placer", entryWith(R"("placer":"random")"),
                     "placer must be"}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Description);
+      return oriolebay::testnames::testNameFrom(info.param.Description);
     });
 
 TEST(EntrySettings, ValidFileIsParsed) {
@@ -106,7 +106,7 @@
                     "entries":["tcp://127.0.0.1:1"],"backend_url":"http://x:1"})",
                     "worker.accelerators must be above zero"}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Description);
+      return oriolebay::testnames::testNameFrom(info.param.Description);
     });
 
 } // namespace
--- a/tests/auto/system/tst_endtoend.cpp
+++ b/tests/auto/system/tst_endtoend.cpp
@@ -127,7 +127,7 @@
         FaultCase{"store outage", Fault::StoreOutage, core::Outcome::NotRun,
                   0}),
     [](const auto &info) {
-      return oriolebay::testnames::storyName(info.param.Description);
+      return oriolebay::testnames::testNameFrom(info.param.Description);
     });
 
 // The host of an endpoint is taken out of service: its agent gets SIGTERM,
--- a/tests/auto/system/tst_failures.cpp
+++ b/tests/auto/system/tst_failures.cpp
@@ -88,7 +88,7 @@
         LeaderCase{"frozen past its lease", LeaderFault::Freeze, false},
         LeaderCase{"stopped gracefully", LeaderFault::GracefulStop, false}),
     [](const auto &info) {
-      return testnames::storyName(info.param.Description);
+      return testnames::testNameFrom(info.param.Description);
     });
 
 // The store becomes unavailable while a gang runs. The gang must not be
@@ -192,7 +192,7 @@
         WorkerCase{"agent drained", WorkerFault::Retire, true, Outcome::Done,
                    2}),
     [](const auto &info) {
-      return testnames::storyName(info.param.Description);
+      return testnames::testNameFrom(info.param.Description);
     });
 
 // Guards against a worker that is lost for good because the entry keeps the
--- a/tests/auto/testnames.h
+++ b/tests/auto/testnames.h
@@ -11,7 +11,7 @@
 
 /// Turns the description of a test case into a name that gtest accepts: letters
 /// and digits are kept, everything else becomes an underscore.
-inline std::string storyName(const std::string &story) {
+inline std::string testNameFrom(const std::string &story) {
   std::string out;
   for (char ch : story)
     out += std::isalnum(static_cast<unsigned char>(ch)) != 0 ? ch : '_';
@@ -24,7 +24,8 @@
   const std::string name =
       testing::UnitTest::GetInstance()->current_test_info()->name();
   return std::filesystem::temp_directory_path() /
-         ("oriolebay-test-" + std::to_string(getpid()) + "-" + storyName(name));
+         ("oriolebay-test-" + std::to_string(getpid()) + "-" +
+          testNameFrom(name));
 }
 
 } // namespace oriolebay::testnames
--- a/tests/bench/jobsbench/siteload.cpp
+++ b/tests/bench/jobsbench/siteload.cpp
@@ -19,7 +19,7 @@
 constexpr int WindowS = 2;
 constexpr int WorstWindows = 2;
 /// Interval of the scheduler's timers, the same as in the leading entry.
-constexpr int TickEveryMs = 200;
+constexpr int TickIntervalMs = 200;
 /// Number of cores that an accelerator counts as.
 constexpr double CoresPerAccelerator = 8;
 /// Time from the notice of a worker's shutdown to its end.
@@ -57,7 +57,7 @@
   int Organisation = 0;
   int SubmittedMs = 0;
   /// The work of each task, by step and index.
-  std::vector<std::vector<absl::Duration>> Work;
+  std::vector<std::vector<absl::Duration>> WorkTime;
   double Value = 0;
   absl::Duration Deadline;
   bool Fails = false;
@@ -88,7 +88,7 @@
 void drawWork(Random &random, const SiteLoad &site, const core::StepSpec &step,
               double workMs, SimulatedJob &job, absl::Duration &criticalPath,
               double &size) {
-  std::vector<absl::Duration> &tasks = job.Work.emplace_back();
+  std::vector<absl::Duration> &tasks = job.WorkTime.emplace_back();
   absl::Duration longest = absl::ZeroDuration();
   const double gangFactor =
       step.Gang ? drawLogNormal(random, 1, TaskWorkSpread, 3) : 0;
@@ -206,13 +206,13 @@
     Sim.configure(configOf(site));
     addWorkers();
     Sim.StopDuration = Site.StopDuration;
-    Sim.TickEveryMs = TickEveryMs;
-    Sim.Work = [this](const core::TaskId &id, const core::StepSpec &) {
+    Sim.TickIntervalMs = TickIntervalMs;
+    Sim.WorkTime = [this](const core::TaskId &id, const core::StepSpec &) {
       return Jobs.at(id.Job)
-          .Work.at(static_cast<size_t>(id.Step))
+          .WorkTime.at(static_cast<size_t>(id.Step))
           .at(static_cast<size_t>(id.Index));
     };
-    Sim.FailsItself = [this](const core::TaskId &id, int64_t run) {
+    Sim.RunFails = [this](const core::TaskId &id, int64_t run) {
       return run == 1 && id.Index == 0 && Jobs.at(id.Job).Fails;
     };
   }
@@ -239,7 +239,7 @@
           Sim.worker(failingWorker(n)).FailsAll = ms == failAt;
       if (ms == drainAt)
         for (int n = 0; n < Conditions.DrainingWorkers; ++n)
-          Sim.leave("w" + std::to_string(n), ShutdownNotice);
+          Sim.drain("w" + std::to_string(n), ShutdownNotice);
       Sim.runFor(absl::Milliseconds(StepMs));
     }
     Sim.runFor(absl::Seconds(Conditions.CompletionS));
@@ -277,14 +277,15 @@
   }
 
   double earnedValue(const SimulatedJob &job, bool &inTime) const {
-    const std::optional<absl::Duration> took = Sim.took(job.Spec.Id);
+    const std::optional<absl::Duration> turnaroundTime =
+        Sim.turnaroundTime(job.Spec.Id);
     inTime = false;
-    if (!took || Sim.state(job.Spec.Id) != jobs::JobState::Completed)
+    if (!turnaroundTime || Sim.state(job.Spec.Id) != jobs::JobState::Completed)
       return 0;
-    inTime = *took <= job.Deadline;
+    inTime = *turnaroundTime <= job.Deadline;
     if (inTime)
       return job.Value;
-    return *took <= 3 * job.Deadline
+    return *turnaroundTime <= 3 * job.Deadline
                ? job.Value * Site.Kinds[job.Kind].LateValueShare
                : 0;
   }
@@ -313,7 +314,7 @@
       b.Total += job.Value;
       b.Earned += isInTime ? job.Value : 0;
     }
-    result.LostCoreSeconds = Sim.wasted();
+    result.LostCoreSeconds = Sim.lostWork();
     result.Starts = Sim.starts();
     result.Violations = static_cast<int>(Sim.violations().size());
     result.Earned = all.share();
