--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -56,7 +56,7 @@
                          std::string entryPrefix, OnOrderCompleted onCompleted)
     : Loop(loop), Peers(std::move(peers)), Worker(std::move(worker)),
       Settings(std::move(settings)), Time(settings::deriveTiming(Settings)),
-      Calls(std::move(store)), EntryPrefix(std::move(entryPrefix)),
+      StoreClient(std::move(store)), EntryPrefix(std::move(entryPrefix)),
       NotifyOrderCompleted(std::move(onCompleted)) {
   Peers.Serve([this, alive = Alive](const Message &m, const auto &respond) {
     if (*alive)
@@ -119,7 +119,7 @@
 
 endpoints::KeepAliveCall WorkerAgent::makeKeepAliveCall(int64_t waitMs) const {
   endpoints::KeepAliveCall call;
-  call.Life = State.Life;
+  call.Incarnation = State.Life;
   call.UntilMs = keepAliveUntilMs();
   call.Epoch = Epoch;
   // The call may reach the next incarnation under the same id, which numbers
@@ -336,7 +336,7 @@
   if (ReadingEntries)
     return;
   ReadingEntries = true;
-  Calls.Range(
+  StoreClient.Range(
       EntryPrefix, "", platform::ReadMode::MaybeStale,
       [this,
        alive = Alive](const platform::StoreReply<platform::StorePage> &reply) {
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -142,7 +142,7 @@
   const settings::NodeSettings Settings;
   const settings::Timing Time;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  const platform::Store Calls;
+  const platform::Store StoreClient;
   const std::string EntryPrefix;
   const OnOrderCompleted NotifyOrderCompleted;
   LeaderFinder Leader;
--- a/src/libs/agent/workeragent_incarnation.cpp
+++ b/src/libs/agent/workeragent_incarnation.cpp
@@ -97,7 +97,7 @@
     return;
   ProbedIncarnation = incarnation;
   endpoints::KeepAliveCall probe;
-  probe.Life = incarnation;
+  probe.Incarnation = incarnation;
   probe.Epoch = Epoch;
   Worker.KeepAlive(
       probe, [this, alive = Alive, heartbeat](const KeepAliveReply &reply) {
--- a/src/libs/agent/workeragent_orders.cpp
+++ b/src/libs/agent/workeragent_orders.cpp
@@ -38,7 +38,7 @@
 struct WorkerAgent::Order {
   endpoints::StartOrder Start;
   endpoints::StopOrder Stop;
-  endpoints::WorkerIncarnation Life;
+  endpoints::WorkerIncarnation Incarnation;
   /// Epoch of the leader that gave the order. Every attempt carries this epoch,
   /// never a newer one.
   int64_t Epoch = 0;
@@ -74,7 +74,7 @@
     else if (StopsInProgress.count(key) == 0) {
       auto order = std::make_shared<Order>();
       order->Stop = stop;
-      order->Life = orders.Life;
+      order->Incarnation = orders.Life;
       order->Epoch = orders.Epoch;
       StopsInProgress[key] = order;
       stopTask(order);
@@ -94,7 +94,7 @@
     } else if (StartsInProgress.count(key) == 0) {
       auto order = std::make_shared<Order>();
       order->Start = start;
-      order->Life = orders.Life;
+      order->Incarnation = orders.Life;
       order->Epoch = orders.Epoch;
       StartsInProgress[key] = order;
       startTask(order);
@@ -161,7 +161,7 @@
     return;
   }
   endpoints::StartCall call;
-  call.Life = order->Life;
+  call.Incarnation = order->Incarnation;
   call.Order = order->Start;
   call.UntilMs = until;
   call.Epoch = order->Epoch;
@@ -169,7 +169,7 @@
   ++order->Attempts;
   SentStarts.recordSent({key.first, key.second}, Loop.now());
   Worker.Start(call, [this, alive = Alive, order](const CallOutcome &outcome) {
-    if (*alive && order->Life == State.Life)
+    if (*alive && order->Incarnation == State.Life)
       onStarted(order, outcome);
   });
 }
@@ -213,7 +213,7 @@
   if (order->Attempts >= MaxStartAttempts)
     return end(OrderOutcome::Refused);
   Loop.runAfter(OrderRetryPause, [this, alive = Alive, order] {
-    if (*alive && order->Life == State.Life)
+    if (*alive && order->Incarnation == State.Life)
       startTask(order);
   });
 }
@@ -224,13 +224,13 @@
     return;
   }
   endpoints::StopCall call;
-  call.Life = order->Life;
+  call.Incarnation = order->Incarnation;
   call.Order = order->Stop;
   call.Epoch = order->Epoch;
   call.FreshConnection = order->Attempts > 0;
   ++order->Attempts;
   Worker.Stop(call, [this, alive = Alive, order](const CallOutcome &outcome) {
-    if (*alive && order->Life == State.Life)
+    if (*alive && order->Incarnation == State.Life)
       onStopped(order, outcome);
   });
 }
@@ -255,7 +255,7 @@
     return;
   }
   Loop.runAfter(OrderRetryPause, [this, alive = Alive, order] {
-    if (*alive && order->Life == State.Life)
+    if (*alive && order->Incarnation == State.Life)
       stopTask(order);
   });
 }
--- a/src/libs/endpoints/workercalls.h
+++ b/src/libs/endpoints/workercalls.h
@@ -59,7 +59,7 @@
 /// Starts a run. UntilMs is a time on the worker's clock: all runs of the
 /// worker end then unless they are kept alive longer.
 struct StartCall {
-  WorkerIncarnation Life;
+  WorkerIncarnation Incarnation;
   StartOrder Order;
   int64_t UntilMs = 0;
   int64_t Epoch = 0;
@@ -67,7 +67,7 @@
 };
 
 struct StopCall {
-  WorkerIncarnation Life;
+  WorkerIncarnation Incarnation;
   StopOrder Order;
   int64_t Epoch = 0;
   bool FreshConnection = false;
@@ -77,7 +77,7 @@
 /// is zero, the call only lists them. The worker delays the answer by up to
 /// WaitMs until a run ends. It forgets the ends up to number SeenUpto.
 struct KeepAliveCall {
-  WorkerIncarnation Life;
+  WorkerIncarnation Incarnation;
   int64_t UntilMs = 0;
   int64_t Epoch = 0;
   int64_t SeenUpto = 0;
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -55,7 +55,7 @@
                      {{"why", why}});
           },
           Observers.StoreCalled),
-      Calls(Health.monitored(store)) {
+      StoreClient(Health.monitored(store)) {
   Peers.Serve([this, alive = Alive](const Message &m, const auto &respond) {
     const auto *call = std::get_if<endpoints::ForwardedCall>(&m);
     if (!*alive)
@@ -76,7 +76,7 @@
     };
   };
   Config = std::make_unique<operators::ConfigFollower>(
-      Loop, Calls,
+      Loop, StoreClient,
       operators::ConfigSource{std::move(configKey), std::move(decodeConfig),
                               Time.ConfirmInterval, follow},
       [this](const std::shared_ptr<const core::SiteConfig> &c) { onConfig(c); },
@@ -86,7 +86,7 @@
       [this](const core::ConfigStamp &newer) { onConfigOutdated(newer); },
       storeErrorLogger("configuration"));
   View = std::make_unique<jobs::JobView>(
-      Loop, Calls, pacedFollow,
+      Loop, StoreClient, pacedFollow,
       [this](const jobs::StoredJob &job) {
         if (Session)
           Session->onRecord(job);
@@ -112,7 +112,7 @@
   Forwarder = std::make_unique<CallForwarder>(
       Loop, Peers, [this] { return otherEntries(); });
   Service = std::make_unique<jobs::JobService>(
-      Loop, Calls, *View, *Config, servicePolicy,
+      Loop, StoreClient, *View, *Config, servicePolicy,
       [this] { return Health.failingSince(); },
       [this](const jobs::CallRequest &call, const jobs::OnForwarded &done) {
         return forward(call, done);
@@ -127,7 +127,7 @@
           Observers.Called(d);
       });
   Entries = std::make_unique<platform::PrefixFollower>(
-      Loop, Calls, EntryPrefix, pacedFollow,
+      Loop, StoreClient, EntryPrefix, pacedFollow,
       [this](const platform::StoreEvent &event) { onEntry(event); },
       [](int64_t) {}, storeErrorLogger("entries"));
   platform::ElectionOptions election;
@@ -141,7 +141,7 @@
   election.LeaseTtl = Time.LeaderLease;
   election.Follow = follow;
   Election = std::make_unique<platform::Election>(
-      Loop, Calls, election,
+      Loop, StoreClient, election,
       [this](const platform::Leadership &l) { onLeadership(l); },
       storeErrorLogger("election"));
 }
@@ -277,7 +277,7 @@
       absl::Milliseconds(Settings.Bounds.KeepFinishedMs) * 5 / 4;
   options.Policy.WallMs = [] { return absl::ToUnixMillis(utils::wallNow()); };
   Session = std::make_unique<LeaderSession>(
-      Loop, Calls, Peers, *View, options, leadership.Epoch,
+      Loop, StoreClient, Peers, *View, options, leadership.Epoch,
       [this] { return Election->confirmedAt(); },
       [this](const jobs::Decision &d) {
         logDecision(d);
--- a/src/libs/entry/jobentry.h
+++ b/src/libs/entry/jobentry.h
@@ -96,7 +96,7 @@
   const EntryObservers Observers;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   platform::StoreHealth Health;
-  const platform::Store Calls;
+  const platform::Store StoreClient;
   platform::Leadership Leader;
   /// After a call without an answer, the leader is not called again before this
   /// time.
--- a/src/libs/entry/leadersession.cpp
+++ b/src/libs/entry/leadersession.cpp
@@ -34,7 +34,7 @@
     LeaderSessionOptions options, int64_t epoch, ConfirmationTime confirmed,
     OnDecision onDecision, OnStoreError onStoreError, OnEnding onEnding,
     OnRecorded onRecorded, OnLeadershipLost onLeadershipLost)
-    : Loop(loop), Calls(store), Peers(peers), View(view),
+    : Loop(loop), StoreClient(store), Peers(peers), View(view),
       Options(std::move(options)), Epoch(epoch),
       LastConfirmed(std::move(confirmed)),
       ReportDecision(std::move(onDecision)),
@@ -51,7 +51,7 @@
   options.OwnTerm = {Epoch, Options.Address};
   options.TimeLimit = Options.Policy.UnreportedLostAfter;
   Previous = std::make_unique<PreviousLeaders>(
-      Loop, Calls, Peers, options,
+      Loop, StoreClient, Peers, options,
       [this, onRegistered = std::move(onRegistered)] {
         Registered = true;
         onRegistered();
@@ -192,23 +192,23 @@
     txn.Puts.push_back(
         {jobs::progressKey(progressWrite.JobId), progressWrite.Value, 0});
   }
-  Calls.Transact(std::move(txn),
-                 [this, alive = Alive, batch = std::move(batch)](
-                     const StoreReply<StoreTxnReply> &reply) {
-                   if (!*alive)
-                     return;
-                   if (reply.ok()) {
-                     onWritten(batch, reply.Value.Revision);
-                   } else if (reply.Status == StoreStatus::Conflict) {
-                     onConflict(batch, reply.Value.Current);
-                   } else {
-                     ReportStoreError(reply.Status, reply.Why);
-                     WritesPausedUntil = Loop.now() + Options.WriteRetryDelay;
-                     for (const ProgressWrite &progressWrite : batch)
-                       Scheduler.onWriteFailed(progressWrite.JobId);
-                   }
-                   postPass();
-                 });
+  StoreClient.Transact(
+      std::move(txn), [this, alive = Alive, batch = std::move(batch)](
+                          const StoreReply<StoreTxnReply> &reply) {
+        if (!*alive)
+          return;
+        if (reply.ok()) {
+          onWritten(batch, reply.Value.Revision);
+        } else if (reply.Status == StoreStatus::Conflict) {
+          onConflict(batch, reply.Value.Current);
+        } else {
+          ReportStoreError(reply.Status, reply.Why);
+          WritesPausedUntil = Loop.now() + Options.WriteRetryDelay;
+          for (const ProgressWrite &progressWrite : batch)
+            Scheduler.onWriteFailed(progressWrite.JobId);
+        }
+        postPass();
+      });
 }
 
 void LeaderSession::onWritten(const std::vector<ProgressWrite> &batch,
@@ -281,18 +281,19 @@
     txn.Removes.push_back(jobs::progressKey(id));
   }
   RemovalPending = true;
-  Calls.Transact(std::move(txn), [this, alive = Alive, expired](
-                                     const StoreReply<StoreTxnReply> &reply) {
-    if (!*alive)
-      return;
-    RemovalPending = false;
-    if (!reply.ok()) {
-      ReportStoreError(reply.Status, reply.Why);
-      return;
-    }
-    for (const std::string &id : expired)
-      Scheduler.onRecordRemoved(id);
-  });
+  StoreClient.Transact(
+      std::move(txn),
+      [this, alive = Alive, expired](const StoreReply<StoreTxnReply> &reply) {
+        if (!*alive)
+          return;
+        RemovalPending = false;
+        if (!reply.ok()) {
+          ReportStoreError(reply.Status, reply.Why);
+          return;
+        }
+        for (const std::string &id : expired)
+          Scheduler.onRecordRemoved(id);
+      });
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/leadersession.h
+++ b/src/libs/entry/leadersession.h
@@ -107,7 +107,7 @@
   void removeExpiredJobs();
 
   utils::EventLoop &Loop;
-  const platform::Store &Calls;
+  const platform::Store &StoreClient;
   const endpoints::Peers &Peers;
   const jobs::JobView &View;
   const LeaderSessionOptions Options;
--- a/src/libs/entry/previousleaders.cpp
+++ b/src/libs/entry/previousleaders.cpp
@@ -42,7 +42,7 @@
                                  const platform::Store &store,
                                  const endpoints::Peers &peers, Options options,
                                  OnRegistered onRegistered, OnAllGone onAllGone)
-    : Loop(loop), Calls(store), Peers(peers), Params(std::move(options)),
+    : Loop(loop), StoreClient(store), Peers(peers), Params(std::move(options)),
       ReportRegistered(std::move(onRegistered)),
       ReportAllGone(std::move(onAllGone)) {}
 
@@ -56,12 +56,12 @@
 }
 
 void PreviousLeaders::read() {
-  Calls.Get(Params.Key,
-            [this, alive = Alive](
-                const platform::StoreReply<platform::KeyValue> &reply) {
-              if (*alive)
-                onRead(reply);
-            });
+  StoreClient.Get(Params.Key,
+                  [this, alive = Alive](
+                      const platform::StoreReply<platform::KeyValue> &reply) {
+                    if (*alive)
+                      onRead(reply);
+                  });
 }
 
 void PreviousLeaders::onRead(
@@ -98,7 +98,7 @@
   txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
   txn.Expected.push_back({Params.Key, revision});
   txn.Puts.push_back({Params.Key, encode(all), 0});
-  Calls.Transact(
+  StoreClient.Transact(
       std::move(txn),
       [this, alive = Alive, previousTerms = std::move(previousTerms)](
           const platform::StoreReply<platform::StoreTxnReply> &reply) {
@@ -184,16 +184,17 @@
   txn.Puts.push_back({Params.Key, encode({Params.OwnTerm}), 0});
   // A conflict means that another entry has written the list since, or that
   // this write took effect and its answer was lost.
-  Calls.Transact(std::move(txn),
-                 [this, alive = Alive](
-                     const platform::StoreReply<platform::StoreTxnReply> &r) {
-                   if (!*alive || r.ok() || r.Status == StoreStatus::Conflict)
-                     return;
-                   Loop.runAfter(Params.RetryDelay, [this, alive] {
-                     if (*alive)
-                       removePreviousTerms();
-                   });
-                 });
+  StoreClient.Transact(
+      std::move(txn),
+      [this,
+       alive = Alive](const platform::StoreReply<platform::StoreTxnReply> &r) {
+        if (!*alive || r.ok() || r.Status == StoreStatus::Conflict)
+          return;
+        Loop.runAfter(Params.RetryDelay, [this, alive] {
+          if (*alive)
+            removePreviousTerms();
+        });
+      });
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/previousleaders.h
+++ b/src/libs/entry/previousleaders.h
@@ -74,7 +74,7 @@
   void removePreviousTerms();
 
   utils::EventLoop &Loop;
-  const platform::Store &Calls;
+  const platform::Store &StoreClient;
   const endpoints::Peers &Peers;
   const Options Params;
   const OnRegistered ReportRegistered;
--- a/src/libs/jobs/fleet.cpp
+++ b/src/libs/jobs/fleet.cpp
@@ -19,7 +19,8 @@
 
 bool Fleet::isOutdated(const endpoints::WorkerReport &report) const {
   auto it = ReportedEnds.find(report.Agent);
-  return it != ReportedEnds.end() && it->second.Life == report.Worker.Life &&
+  return it != ReportedEnds.end() &&
+         it->second.Incarnation == report.Worker.Life &&
          report.Sequence < it->second.Sequence;
 }
 
--- a/src/libs/jobs/fleet.h
+++ b/src/libs/jobs/fleet.h
@@ -127,7 +127,7 @@
   /// The latest ended incarnation of the worker beside an agent, and the
   /// sequence number of the report that said so.
   struct ReportedEnd {
-    WorkerIncarnation Life;
+    WorkerIncarnation Incarnation;
     int64_t Sequence = 0;
   };
   std::map<std::string, ReportedEnd> ReportedEnds;
--- a/src/libs/jobs/jobservice.cpp
+++ b/src/libs/jobs/jobservice.cpp
@@ -42,8 +42,8 @@
                        StoreFailingSince storeFailingSince, Forward forward,
                        AskLeader askLeader, OnWritten onWritten,
                        OnDecision onDecision)
-    : Loop(loop), Calls(store), View(view), Config(config), Policy(policy),
-      FailingSince(std::move(storeFailingSince)),
+    : Loop(loop), StoreClient(store), View(view), Config(config),
+      Policy(policy), FailingSince(std::move(storeFailingSince)),
       ForwardToEntry(std::move(forward)), QueryLeader(std::move(askLeader)),
       NotifyLeader(std::move(onWritten)),
       ReportDecision(std::move(onDecision)) {}
@@ -355,11 +355,12 @@
   txn.Puts.push_back({specKey(call->JobId), value, 0});
   txn.TimeoutMs = nextTryTimeoutMs(call);
   const absl::Time sentAt = Loop.now();
-  Calls.Transact(std::move(txn), [this, alive = Alive, call, sentAt, value](
-                                     const StoreReply<StoreTxnReply> &reply) {
-    if (*alive)
-      onStoreJobReply(call, reply, sentAt, value);
-  });
+  StoreClient.Transact(std::move(txn),
+                       [this, alive = Alive, call, sentAt,
+                        value](const StoreReply<StoreTxnReply> &reply) {
+                         if (*alive)
+                           onStoreJobReply(call, reply, sentAt, value);
+                       });
 }
 
 void JobService::onStoreJobReply(const CallPtr &call,
@@ -443,32 +444,33 @@
   platform::StoreTxn txn;
   txn.Expected.push_back({key, revision});
   txn.Puts.push_back({key, value, 0});
-  Calls.Transact(std::move(txn), [this, alive = Alive, call, key, value](
-                                     const StoreReply<StoreTxnReply> &reply) {
-    if (!*alive)
-      return;
-    if (reply.ok()) {
-      const KeyValue item{key, value, 0, reply.Value.Revision, 0};
-      View.applyItem(item);
-      NotifyLeader(item);
-      finish(call, CallResult::Ok);
-      return;
-    }
-    if (reply.Status != StoreStatus::Conflict) {
-      retryStoreCall(call, reply.Status,
-                     [this](const CallPtr &c) { findJobToCancel(c); });
-      return;
-    }
-    // The record has changed: it was cancelled by another call, or by this one
-    // with the store's answer lost.
-    if (const KeyValue *current = findItem(reply.Value.Current, key)) {
-      View.applyItem(*current);
-      NotifyLeader(*current);
-      findJobToCancel(call);
-      return;
-    }
-    finish(call, CallResult::UnknownJob, "no such job");
-  });
+  StoreClient.Transact(
+      std::move(txn), [this, alive = Alive, call, key,
+                       value](const StoreReply<StoreTxnReply> &reply) {
+        if (!*alive)
+          return;
+        if (reply.ok()) {
+          const KeyValue item{key, value, 0, reply.Value.Revision, 0};
+          View.applyItem(item);
+          NotifyLeader(item);
+          finish(call, CallResult::Ok);
+          return;
+        }
+        if (reply.Status != StoreStatus::Conflict) {
+          retryStoreCall(call, reply.Status,
+                         [this](const CallPtr &c) { findJobToCancel(c); });
+          return;
+        }
+        // The record has changed: it was cancelled by another call, or by this
+        // one with the store's answer lost.
+        if (const KeyValue *current = findItem(reply.Value.Current, key)) {
+          View.applyItem(*current);
+          NotifyLeader(*current);
+          findJobToCancel(call);
+          return;
+        }
+        finish(call, CallResult::UnknownJob, "no such job");
+      });
 }
 
 } // namespace oriolebay::jobs
--- a/src/libs/jobs/jobservice.h
+++ b/src/libs/jobs/jobservice.h
@@ -196,7 +196,7 @@
   CallAnswer withReportedEnd(const CallPtr &call, CallAnswer answer);
 
   utils::EventLoop &Loop;
-  const platform::Store &Calls;
+  const platform::Store &StoreClient;
   JobView &View;
   operators::ConfigFollower &Config;
   const JobServicePolicy Policy;
--- a/src/libs/jobs/jobservice_state.cpp
+++ b/src/libs/jobs/jobservice_state.cpp
@@ -28,41 +28,43 @@
 
 void JobService::fetchRecord(const CallPtr &call, const Continuation &retry,
                              const Continuation &next) {
-  Calls.Get(specKey(call->JobId), [this, alive = Alive, call, retry,
-                                   next](const StoreReply<KeyValue> &reply) {
-    if (!*alive)
-      return;
-    if (reply.Status == StoreStatus::NotFound) {
-      finish(call, CallResult::UnknownJob, "no such job");
-      return;
-    }
-    if (!reply.ok()) {
-      retryStoreCall(call, StoreStatus::Refused, retry);
-      return;
-    }
-    View.applyItem(reply.Value);
-    next(call);
-  });
+  StoreClient.Get(specKey(call->JobId),
+                  [this, alive = Alive, call, retry,
+                   next](const StoreReply<KeyValue> &reply) {
+                    if (!*alive)
+                      return;
+                    if (reply.Status == StoreStatus::NotFound) {
+                      finish(call, CallResult::UnknownJob, "no such job");
+                      return;
+                    }
+                    if (!reply.ok()) {
+                      retryStoreCall(call, StoreStatus::Refused, retry);
+                      return;
+                    }
+                    View.applyItem(reply.Value);
+                    next(call);
+                  });
 }
 
 void JobService::fetchProgress(const CallPtr &call) {
-  Calls.Get(progressKey(call->JobId),
-            [this, alive = Alive, call](const StoreReply<KeyValue> &reply) {
-              if (!*alive)
-                return;
-              if (!reply.ok() && reply.Status != StoreStatus::NotFound) {
-                retryStoreCall(call, StoreStatus::Refused,
-                               [this](const CallPtr &c) { fetchProgress(c); });
-                return;
-              }
-              if (reply.ok())
-                View.applyItem(reply.Value);
-              const StoredJob *job = View.find(call->JobId);
-              if (job == nullptr)
-                finish(call, CallResult::NotDone, "the record is unreadable");
-              else
-                answerState(call, *job);
-            });
+  StoreClient.Get(
+      progressKey(call->JobId),
+      [this, alive = Alive, call](const StoreReply<KeyValue> &reply) {
+        if (!*alive)
+          return;
+        if (!reply.ok() && reply.Status != StoreStatus::NotFound) {
+          retryStoreCall(call, StoreStatus::Refused,
+                         [this](const CallPtr &c) { fetchProgress(c); });
+          return;
+        }
+        if (reply.ok())
+          View.applyItem(reply.Value);
+        const StoredJob *job = View.find(call->JobId);
+        if (job == nullptr)
+          finish(call, CallResult::NotDone, "the record is unreadable");
+        else
+          answerState(call, *job);
+      });
 }
 
 void JobService::answerState(const CallPtr &call, const StoredJob &job) {
--- a/src/libs/operators/configfollower.cpp
+++ b/src/libs/operators/configfollower.cpp
@@ -15,7 +15,7 @@
                                ConfigSource source, OnConfig onConfig,
                                OnRefused onRefused, OnOutdated onOutdated,
                                OnStoreError onStoreError)
-    : Loop(loop), Calls(store), Source(std::move(source)),
+    : Loop(loop), StoreClient(store), Source(std::move(source)),
       NotifyChanged(std::move(onConfig)), NotifyRefused(std::move(onRefused)),
       NotifyOutdated(std::move(onOutdated)),
       NotifyStoreError(std::move(onStoreError)),
@@ -103,31 +103,32 @@
   txn.TimeoutMs = timeoutMs;
   const absl::Time sentAt = Loop.now();
   const int64_t expectedRevision = Revision;
-  Calls.Transact(std::move(txn),
-                 [this, alive = Alive, sentAt, expectedRevision,
-                  done = std::move(done)](const StoreReply<StoreTxnReply> &r) {
-                   if (!*alive)
-                     return;
-                   if (r.ok()) {
-                     // The configuration in force may have changed since the
-                     // call was sent. Then the answer is about an older one,
-                     // but a newer one was seen since, so that the view is at
-                     // least as fresh.
-                     if (expectedRevision <= Revision)
-                       ConfirmedAt = std::max(ConfirmedAt, sentAt);
-                     done(true);
-                     return;
-                   }
-                   if (r.Status == StoreStatus::Conflict) {
-                     for (const platform::KeyValue &item : r.Value.Current)
-                       if (item.Key == Source.Key)
-                         applyItem(item, sentAt);
-                     done(true);
-                     return;
-                   }
-                   NotifyStoreError(r.Status, r.Why);
-                   done(false);
-                 });
+  StoreClient.Transact(
+      std::move(txn),
+      [this, alive = Alive, sentAt, expectedRevision,
+       done = std::move(done)](const StoreReply<StoreTxnReply> &r) {
+        if (!*alive)
+          return;
+        if (r.ok()) {
+          // The configuration in force may have changed since the
+          // call was sent. Then the answer is about an older one,
+          // but a newer one was seen since, so that the view is at
+          // least as fresh.
+          if (expectedRevision <= Revision)
+            ConfirmedAt = std::max(ConfirmedAt, sentAt);
+          done(true);
+          return;
+        }
+        if (r.Status == StoreStatus::Conflict) {
+          for (const platform::KeyValue &item : r.Value.Current)
+            if (item.Key == Source.Key)
+              applyItem(item, sentAt);
+          done(true);
+          return;
+        }
+        NotifyStoreError(r.Status, r.Why);
+        done(false);
+      });
 }
 
 } // namespace oriolebay::operators
--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -99,7 +99,7 @@
   void applyConfig(const platform::KeyValue &item);
 
   utils::EventLoop &Loop;
-  const platform::Store &Calls;
+  const platform::Store &StoreClient;
   const ConfigSource Source;
   const OnConfig NotifyChanged;
   const OnRefused NotifyRefused;
--- a/src/libs/platform/election.cpp
+++ b/src/libs/platform/election.cpp
@@ -35,7 +35,7 @@
 Election::Election(utils::EventLoop &loop, const Store &store,
                    ElectionOptions options, OnChange onChange,
                    OnStoreError onStoreError)
-    : Loop(loop), Calls(store), Options(std::move(options)),
+    : Loop(loop), StoreClient(store), Options(std::move(options)),
       NotifyChange(std::move(onChange)),
       NotifyStoreError(std::move(onStoreError)),
       Follower(
@@ -69,7 +69,7 @@
   if (Resigned)
     return;
   const absl::Time sent = Loop.now();
-  Calls.GrantLease(
+  StoreClient.GrantLease(
       absl::ToInt64Milliseconds(Options.LeaseTtl),
       guarded<StoreLease>([this, sent](const StoreReply<StoreLease> &r) {
         onLeaseGranted(r, sent);
@@ -100,7 +100,7 @@
   StoreTxn txn;
   txn.Puts.push_back(
       {Options.EntryPrefix + Options.Name, encode(Options.Entry), Lease});
-  Calls.Transact(
+  StoreClient.Transact(
       std::move(txn),
       guarded<StoreTxnReply>([this](const StoreReply<StoreTxnReply> &r) {
         // Agents that know no leader read this record. If the write fails,
@@ -120,7 +120,7 @@
 
 void Election::renewLease() {
   const absl::Time sent = Loop.now();
-  Calls.KeepLease(
+  StoreClient.KeepLease(
       Lease, guarded<StoreLease>([this, sent](const StoreReply<StoreLease> &r) {
         onLeaseRenewed(r, sent);
       }));
@@ -205,7 +205,7 @@
   txn.Expected.push_back({Options.LeaderKey, 0});
   txn.Puts.push_back({Options.LeaderKey, Options.Entry.Address, Lease});
   const int64_t lease = Lease;
-  Calls.Transact(
+  StoreClient.Transact(
       std::move(txn),
       guarded<StoreTxnReply>([this, lease](const StoreReply<StoreTxnReply> &r) {
         CampaignPending = false;
@@ -243,8 +243,8 @@
     done();
     return;
   }
-  Calls.EndLease(lease, [done = std::move(done)](
-                            const StoreReply<StoreLease> &) { done(); });
+  StoreClient.EndLease(lease, [done = std::move(done)](
+                                  const StoreReply<StoreLease> &) { done(); });
 }
 
 } // namespace oriolebay::platform
--- a/src/libs/platform/election.h
+++ b/src/libs/platform/election.h
@@ -93,7 +93,7 @@
   absl::Duration renewalPeriod() const;
 
   utils::EventLoop &Loop;
-  const Store &Calls;
+  const Store &StoreClient;
   const ElectionOptions Options;
   const OnChange NotifyChange;
   const OnStoreError NotifyStoreError;
--- a/src/libs/platform/prefixfollower.cpp
+++ b/src/libs/platform/prefixfollower.cpp
@@ -11,7 +11,7 @@
                                std::string prefix, FollowTiming timing,
                                OnChange onChange, OnComplete onComplete,
                                OnStoreError onStoreError)
-    : Loop(loop), Calls(store), Prefix(std::move(prefix)),
+    : Loop(loop), StoreClient(store), Prefix(std::move(prefix)),
       Timing(std::move(timing)), NotifyChange(std::move(onChange)),
       NotifyComplete(std::move(onComplete)),
       NotifyStoreError(std::move(onStoreError)),
@@ -29,7 +29,7 @@
 }
 
 void PrefixFollower::readPage(uint64_t round, const std::string &after) {
-  Calls.Range(
+  StoreClient.Range(
       Prefix, after, ReadMode::Linearizable,
       [this, currentRound = Round, round](const StoreReply<StorePage> &reply) {
         if (*currentRound == round)
@@ -105,13 +105,13 @@
 }
 
 void PrefixFollower::watch(uint64_t round) {
-  Calls.Watch(Prefix, SeenRevision,
-              absl::ToInt64Milliseconds(Timing.MaxWatchWait),
-              [this, currentRound = Round,
-               round](const StoreReply<StoreEvents> &reply) {
-                if (*currentRound == round)
-                  onEvents(round, reply);
-              });
+  StoreClient.Watch(Prefix, SeenRevision,
+                    absl::ToInt64Milliseconds(Timing.MaxWatchWait),
+                    [this, currentRound = Round,
+                     round](const StoreReply<StoreEvents> &reply) {
+                      if (*currentRound == round)
+                        onEvents(round, reply);
+                    });
 }
 
 void PrefixFollower::onEvents(uint64_t round,
--- a/src/libs/platform/prefixfollower.h
+++ b/src/libs/platform/prefixfollower.h
@@ -78,7 +78,7 @@
   void apply(const StoreEvent &event);
 
   utils::EventLoop &Loop;
-  const Store &Calls;
+  const Store &StoreClient;
   const std::string Prefix;
   const FollowTiming Timing;
   const OnChange NotifyChange;
--- a/tests/auto/adapter/tst_workeradapter.cpp
+++ b/tests/auto/adapter/tst_workeradapter.cpp
@@ -16,7 +16,7 @@
 
 endpoints::StartCall makeStartCall() {
   endpoints::StartCall call;
-  call.Life = {"life-1", 1000};
+  call.Incarnation = {"life-1", 1000};
   call.Order.Task = "j.0.0.0";
   call.Order.Run = 2;
   call.Order.Payload = "spec";
--- a/tests/auto/cluster/memoryworker.cpp
+++ b/tests/auto/cluster/memoryworker.cpp
@@ -257,11 +257,11 @@
   endpoints::WorkerCalls calls;
   calls.Start = [this](const endpoints::StartCall &c, const auto &done) {
     deliverOrder(
-        c.Life, [this, c] { return start(c); }, done);
+        c.Incarnation, [this, c] { return start(c); }, done);
   };
   calls.Stop = [this](const endpoints::StopCall &c, const auto &done) {
     deliverOrder(
-        c.Life, [this, c] { return stop(c); }, done);
+        c.Incarnation, [this, c] { return stop(c); }, done);
   };
   calls.KeepAlive = [this](const endpoints::KeepAliveCall &c,
                            const auto &done) {
@@ -276,7 +276,7 @@
         done(reply);
         return;
       }
-      if (c.Life.Id != State.Life.Id) {
+      if (c.Incarnation.Id != State.Life.Id) {
         endpoints::KeepAliveReply reply;
         reply.Outcome.Status = CallStatus::OtherIncarnation;
         done(reply);
