--- a/src/app/entry/jobscommand.cpp
+++ b/src/app/entry/jobscommand.cpp
@@ -1,15 +1,15 @@
 #include "jobscommand.h"
 
-#include "callerform.h"
+#include "calleradapter.h"
 #include "common/signalthread.h"
-#include "configform.h"
+#include "configadapter.h"
 #include "entry/jobentry.h"
 #include "eventlog/eventlog.h"
 #include "http/asyncclient.h"
 #include "metrics/metricsserver.h"
 #include "settings/nodesettings.h"
 #include "settings/settings.h"
-#include "storeform.h"
+#include "storeadapter.h"
 #include "utils/boottime.h"
 #include "utils/eventloop.h"
 
@@ -39,9 +39,9 @@
       : Settings(settings), Loop(LoopCapacity),
         Entry(Loop, adapter::makeStore(Loop, Client, Settings.Store.text()),
               endpoints::makeNngPeers(Loop, "tcp://" + Settings.Peers.text()),
-              Settings, adapter::readConfig, adapter::ConfigKey,
+              Settings, adapter::parseConfig, adapter::ConfigKey,
               metricObservers()),
-        Callers(Loop, Entry.desk(), Settings.Callers.Host,
+        Callers(Loop, Entry.jobService(), Settings.Callers.Host,
                 Settings.Callers.Port),
         Ready(
             Loop, [this](std::string *why) { return Entry.ready(why); },
@@ -66,24 +66,25 @@
   EntryObservers metricObservers() {
     EntryObservers o;
     o.Called = [this](const jobs::CallDecision &d) {
-      Metrics.callAnswered(d.Call, jobs::callResultName(d.Answer.Result),
-                           absl::Milliseconds(d.TookMs));
+      Metrics.recordCall(d.Call, jobs::callResultName(d.Answer.Result),
+                         absl::Milliseconds(d.TookMs));
     };
     o.Decided = [this](const jobs::Decision &d) { countDecision(d); };
     o.StoreCalled = [this](const char *call, platform::StoreStatus status,
                            absl::Duration duration) {
-      Metrics.storeCalled(call, platform::storeStatusName(status), duration);
+      Metrics.recordStoreCall(call, platform::storeStatusName(status),
+                              duration);
     };
     return o;
   }
 
   void countDecision(const jobs::Decision &d) {
     if (d.What == jobs::Decision::Kind::Placed)
-      Metrics.runPlaced(static_cast<int>(d.input("rank")),
-                        absl::Milliseconds(d.input("waited_ms")));
+      Metrics.recordRunPlaced(static_cast<int>(d.input("rank")),
+                              absl::Milliseconds(d.input("waited_ms")));
     else if (d.What == jobs::Decision::Kind::JobEnded)
-      Metrics.jobEnded(d.Why, static_cast<int>(d.input("priority")),
-                       absl::Milliseconds(d.input("took_ms")));
+      Metrics.recordJobEnded(d.Why, static_cast<int>(d.input("priority")),
+                             absl::Milliseconds(d.input("took_ms")));
   }
 
   void refresh(metrics::ProcessMetrics &m) const {
@@ -122,7 +123,7 @@
     const absl::Duration sinceStop = utils::bootNow() - StopStartedAt;
     const bool idle =
         sinceStop >= BalancerDetectionTime && Callers.unanswered() == 0;
-    if (idle || sinceStop >= settings::deriveTiming(Settings).LeaveBy) {
+    if (idle || sinceStop >= settings::deriveTiming(Settings).MaxShutdownTime) {
       logEvent(Event::ProcessStopped, {{"unanswered", Callers.unanswered()}});
       Loop.stop();
       return;
@@ -135,8 +136,8 @@
   http::AsyncClient Client;
   metrics::ProcessMetrics Metrics;
   JobEntry Entry;
-  adapter::CallerFront Callers;
-  adapter::ReadyFront Ready;
+  adapter::CallerServer Callers;
+  adapter::ReadinessServer Ready;
   std::unique_ptr<metrics::MetricsServer> MetricsHttpServer;
   absl::Time StopStartedAt = absl::InfinitePast();
 };
--- a/src/libs/entry/jobentry.h
+++ b/src/libs/entry/jobentry.h
@@ -2,9 +2,9 @@
 
 #include "callforwarder.h"
 #include "endpoints/peers.h"
-#include "jobs/jobdesk.h"
+#include "jobs/jobservice.h"
 #include "jobs/jobview.h"
-#include "leaderduty.h"
+#include "leadersession.h"
 #include "operators/configfollower.h"
 #include "platform/election.h"
 #include "platform/storehealth.h"
@@ -58,7 +58,7 @@
   JobEntry &operator=(const JobEntry &) = delete;
 
   void start();
-  jobs::JobDesk &desk() { return *Service; }
+  jobs::JobService &jobService() { return *Service; }
   /// Whether this entry can serve callers now. If not, the reason is stored in
   /// why.
   bool ready(std::string *why = nullptr) const;
@@ -96,7 +96,7 @@
   const EntryObservers Observers;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   platform::StoreHealth Health;
-  const platform::Store Calls;
+  const platform::Store StoreClient;
   platform::Leadership Leader;
   /// After a call without an answer, the leader is not called again before this
   /// time.
@@ -111,10 +111,10 @@
   std::unique_ptr<operators::ConfigFollower> Config;
   std::unique_ptr<jobs::JobView> View;
   std::unique_ptr<CallForwarder> Forwarder;
-  std::unique_ptr<jobs::JobDesk> Service;
+  std::unique_ptr<jobs::JobService> Service;
   std::unique_ptr<platform::PrefixFollower> Entries;
   std::unique_ptr<platform::Election> Election;
-  std::unique_ptr<LeaderDuty> Session;
+  std::unique_ptr<LeaderSession> Session;
   /// The view has been read completely since the election.
   bool ViewReadSinceElection = false;
 };
--- a/src/libs/jobs/fleet.cpp
+++ b/src/libs/jobs/fleet.cpp
@@ -6,30 +6,32 @@
 
 // An agent that has just started has not received a heartbeat of its worker
 // yet. Its report then says nothing about an incarnation that was known before.
-std::optional<endpoints::LifeEnd> endOf(const endpoints::WorkerReport &report,
-                                        const WorkerLife &incarnation) {
-  for (const endpoints::LifeEnd &end : report.EndedLives)
+std::optional<endpoints::IncarnationEnd>
+findIncarnationEnd(const endpoints::WorkerReport &report,
+                   const WorkerIncarnation &incarnation) {
+  for (const endpoints::IncarnationEnd &end : report.EndedLives)
     if (end.Life == incarnation)
       return end;
   if (!report.Worker.Life.empty() && report.Worker.Life != incarnation)
-    return endpoints::LifeEnd{incarnation};
+    return endpoints::IncarnationEnd{incarnation};
   return std::nullopt;
 }
 
-bool Fleet::isOvertaken(const endpoints::WorkerReport &report) const {
+bool Fleet::isOutdated(const endpoints::WorkerReport &report) const {
   auto it = ReportedEnds.find(report.Agent);
-  return it != ReportedEnds.end() && it->second.Life == report.Worker.Life &&
+  return it != ReportedEnds.end() &&
+         it->second.Incarnation == report.Worker.Life &&
          report.Sequence < it->second.Sequence;
 }
 
-std::vector<endpoints::LifeEnd>
-Fleet::heard(const endpoints::WorkerReport &report, absl::Time now) {
-  std::vector<endpoints::LifeEnd> ended;
+std::vector<endpoints::IncarnationEnd>
+Fleet::applyReport(const endpoints::WorkerReport &report, absl::Time now) {
+  std::vector<endpoints::IncarnationEnd> ended;
   for (const auto &[incarnation, worker] : Workers)
     if (worker.Agent == report.Agent)
-      if (const auto end = endOf(report, incarnation))
+      if (const auto end = findIncarnationEnd(report, incarnation))
         ended.push_back(*end);
-  for (const endpoints::LifeEnd &end : ended) {
+  for (const endpoints::IncarnationEnd &end : ended) {
     Workers.erase(end.Life);
     ReportedEnds[report.Agent] = {end.Life, report.Sequence};
   }
@@ -39,7 +41,7 @@
   worker.State = report.Worker;
   worker.Agent = report.Agent;
   worker.AgentAddress = report.AgentAddress;
-  worker.LastHeard = now;
+  worker.LastReportAt = now;
   worker.Sequence = report.Sequence;
   worker.Reachable = report.Reachable;
   worker.EarliestShutdown =
@@ -53,22 +55,22 @@
   return ended;
 }
 
-std::vector<WorkerLife> Fleet::takeLost(absl::Time now) {
-  std::vector<WorkerLife> lost;
+std::vector<WorkerIncarnation> Fleet::takeLost(absl::Time now) {
+  std::vector<WorkerIncarnation> lost;
   for (const auto &[incarnation, worker] : Workers)
     if (worker.LostAt <= now)
       lost.push_back(incarnation);
-  for (const WorkerLife &incarnation : lost)
+  for (const WorkerIncarnation &incarnation : lost)
     Workers.erase(incarnation);
   return lost;
 }
 
-WorkerView *Fleet::find(const WorkerLife &incarnation) {
+WorkerView *Fleet::find(const WorkerIncarnation &incarnation) {
   auto it = Workers.find(incarnation);
   return it == Workers.end() ? nullptr : &it->second;
 }
 
-const WorkerView *Fleet::find(const WorkerLife &incarnation) const {
+const WorkerView *Fleet::find(const WorkerIncarnation &incarnation) const {
   auto it = Workers.find(incarnation);
   return it == Workers.end() ? nullptr : &it->second;
 }
@@ -81,13 +83,14 @@
   return all;
 }
 
-bool Fleet::usable(const WorkerView &worker, absl::Time now) const {
+bool Fleet::isUsable(const WorkerView &worker, absl::Time now) const {
   return !worker.State.Draining && worker.Reachable &&
-         now - worker.LastHeard < Policy.SuspectAfter &&
+         now - worker.LastReportAt < Policy.UnresponsiveAfter &&
          now >= worker.QuarantinedUntil;
 }
 
-bool Fleet::recordEnd(const WorkerLife &incarnation, bool ok, absl::Time now) {
+bool Fleet::recordEnd(const WorkerIncarnation &incarnation, bool ok,
+                      absl::Time now) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return false;
@@ -97,12 +100,12 @@
     ++worker->CompletedRuns;
     return false;
   }
-  if (++worker->ConsecutiveFailures < Policy.FailuresInARow)
+  if (++worker->ConsecutiveFailures < Policy.FailuresBeforeQuarantine)
     return false;
   return quarantine(incarnation, now);
 }
 
-bool Fleet::quarantine(const WorkerLife &incarnation, absl::Time now) {
+bool Fleet::quarantine(const WorkerIncarnation &incarnation, absl::Time now) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr || now < worker->QuarantinedUntil)
     return false;
@@ -114,14 +117,14 @@
   return true;
 }
 
-void Fleet::occupy(const WorkerLife &incarnation, const RunId &run,
-                   const core::Resources &resources) {
+void Fleet::allocate(const WorkerIncarnation &incarnation, const RunId &run,
+                     const core::Resources &resources) {
   WorkerView *worker = find(incarnation);
   if (worker != nullptr && worker->Allocations.emplace(run, resources).second)
     worker->Used += resources;
 }
 
-void Fleet::vacate(const WorkerLife &incarnation, const RunId &run) {
+void Fleet::release(const WorkerIncarnation &incarnation, const RunId &run) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
@@ -132,14 +135,15 @@
   worker->Allocations.erase(it);
 }
 
-bool Fleet::endListed(const WorkerLife &incarnation, int64_t number) {
+bool Fleet::registerEnd(const WorkerIncarnation &incarnation, int64_t number) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr || number <= worker->SeenUpto)
     return false;
   return worker->RunEnds.emplace(number, false).second;
 }
 
-void Fleet::endRecorded(const WorkerLife &incarnation, int64_t number) {
+void Fleet::markEndRecorded(const WorkerIncarnation &incarnation,
+                            int64_t number) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return;
--- a/src/libs/jobs/jobview.h
+++ b/src/libs/jobs/jobview.h
@@ -20,7 +20,7 @@
 
   /// The state to report to callers.
   JobState visibleState() const {
-    return shownState(Record, ProgressRevision > 0 ? &Progress : nullptr);
+    return visibleStateOf(Record, ProgressRevision > 0 ? &Progress : nullptr);
   }
 };
 
@@ -51,13 +51,15 @@
   /// Reads all jobs again; calls OnComplete when done.
   void readAgain() { Follower.readAgain(); }
   /// Applies a job's key that another call has just written or read.
-  void learn(platform::KeyValue item) { Follower.learn(std::move(item)); }
+  void applyItem(platform::KeyValue item) {
+    Follower.applyItem(std::move(item));
+  }
   /// Applies a job's progress that this process has just written.
-  void learnProgress(const std::string &jobId, JobProgress progress,
-                     int64_t revision);
+  void applyWrittenProgress(const std::string &jobId, JobProgress progress,
+                            int64_t revision);
 
   /// All jobs have been read at least once.
-  bool complete() const { return Complete; }
+  bool isComplete() const { return Complete; }
   const StoredJob *find(const std::string &jobId) const;
   const std::map<std::string, StoredJob> &jobs() const { return Jobs; }
   /// Number of the queue's jobs that have not started, repeating jobs excluded.
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -16,8 +16,8 @@
 Planner::Planner(JobScheduler &scheduler, absl::Time now)
     : Scheduler(scheduler), Now(now) {
   for (const auto &[incarnation, view] : Scheduler.Workers.workers())
-    if (Scheduler.Workers.usable(view, now))
-      Candidates.push_back({&view, view.room(), view.room(),
+    if (Scheduler.Workers.isUsable(view, now))
+      Candidates.push_back({&view, view.freeResources(), view.freeResources(),
                             absl::InfiniteDuration(),
                             Scheduler.Speeds.isSlow(view.Agent), -1,
                             view.ConsecutiveFailures > 0});
@@ -49,8 +49,9 @@
         std::max(maxAccelerators, candidate.View->State.Capacity.Accelerators);
   if (maxAccelerators == 0)
     return 0;
-  const double need = Scheduler.Policy.Headroom *
-                      Scheduler.Urgent.within(Scheduler.Policy.StopTakes, Now);
+  const double need =
+      Scheduler.Policy.Headroom *
+      Scheduler.UrgentDemand.expectedDemand(Scheduler.Policy.StopDuration, Now);
   const auto workers =
       static_cast<int>(need / static_cast<double>(maxAccelerators));
   return std::min(workers, static_cast<int>(Candidates.size()) /
@@ -90,7 +91,7 @@
   std::vector<Job *> urgent;
   for (auto &[id, job] : Scheduler.Jobs) {
     job.Rank = job.Record.Priority + 1;
-    if (!job.over() && job.Record.Priority == 0)
+    if (!job.hasEnded() && job.Record.Priority == 0)
       urgent.push_back(&job);
   }
   std::sort(urgent.begin(), urgent.end(), [](const Job *a, const Job *b) {
@@ -113,14 +114,14 @@
 
 void Planner::collectUnits() {
   for (auto &[id, job] : Scheduler.Jobs) {
-    if (job.over())
+    if (job.hasEnded())
       continue;
     const int due = Scheduler.dueOccurrences(job);
     for (int number = 0; number < due; ++number) {
       std::vector<JobScheduler::Step> &steps =
-          Scheduler.occurrence(job, number);
+          Scheduler.ensureOccurrence(job, number);
       for (size_t s = 0; s < steps.size(); ++s) {
-        if (!JobScheduler::stepReady(job, steps, s))
+        if (!JobScheduler::isStepReady(job, steps, s))
           continue;
         PlacementUnit unit{&job, number, static_cast<int>(s), {}, job.Rank, {}};
         collectTasks(unit, steps[s]);
@@ -151,7 +152,7 @@
   for (size_t i = 0; i < step.size(); ++i) {
     const Task &task = step[i];
     const auto index = static_cast<int>(i);
-    if (task.Progress.Done || task.mayRun()) {
+    if (task.Progress.Done || task.isAssigned()) {
       if (gang)
         return;
     } else if (gang || (task.FailedOn.empty() && !task.isSuspect())) {
@@ -207,8 +208,8 @@
   int64_t taskCount = 0;
   for (const Candidate &candidate : Candidates)
     if (isEligible(*candidate.View, unit))
-      taskCount +=
-          spec.room().countIn(candidate.View->State.Capacity, maxTasks);
+      taskCount += spec.taskResources().countIn(candidate.View->State.Capacity,
+                                                maxTasks);
   return taskCount;
 }
 
@@ -261,7 +262,7 @@
 }
 
 int Planner::countTasksOnWorker(const PlacementUnit &unit,
-                                const WorkerLife &incarnation) const {
+                                const WorkerIncarnation &incarnation) const {
   const JobScheduler::Step &step = unit.step();
   return static_cast<int>(
       std::count_if(step.begin(), step.end(), [&](const Task &t) {
@@ -274,7 +275,7 @@
   maxTasks = std::min(maxTasks, unit.TaskLimits[candidateIndex]);
   return maxTasks <= 0
              ? 0
-             : unit.spec().room().countIn(
+             : unit.spec().taskResources().countIn(
                    usableResources(Candidates[candidateIndex], unit), maxTasks);
 }
 
@@ -301,7 +302,7 @@
     if (view.State.Draining || !isEligible(view, unit))
       continue;
     int64_t &taskCount = tasksByRack[view.State.Rack];
-    taskCount += spec.room().countIn(view.State.Capacity, maxTasks);
+    taskCount += spec.taskResources().countIn(view.State.Capacity, maxTasks);
     if (taskCount >= spec.Count)
       return true;
   }
@@ -381,10 +382,10 @@
   }
   const std::string saved = furthest->Progress.Saved;
   for (size_t n = 0; n < placement.size(); ++n) {
-    Scheduler.start(*unit.Owner, unit.taskId(unit.Tasks[n]),
-                    Candidates[placement[n]].View->State.Life, saved, run + 1,
-                    unit.Rank, Now);
-    allocate(placement[n], unit.spec().room());
+    Scheduler.assignRun(*unit.Owner, unit.taskId(unit.Tasks[n]),
+                        Candidates[placement[n]].View->State.Life, saved,
+                        run + 1, unit.Rank, Now);
+    allocate(placement[n], unit.spec().taskResources());
     markRecentStart(placement[n], unit);
   }
   refreshRunningUnits(*unit.Owner, unit.Occurrence, unit.Step);
@@ -392,10 +393,11 @@
 
 void Planner::startTask(PlacementUnit &unit, int index, size_t candidateIndex) {
   const Task &task = *Scheduler.findTask(unit.taskId(index));
-  Scheduler.start(*unit.Owner, unit.taskId(index),
-                  Candidates[candidateIndex].View->State.Life,
-                  task.Progress.Saved, task.Progress.Run + 1, unit.Rank, Now);
-  allocate(candidateIndex, unit.spec().room());
+  Scheduler.assignRun(*unit.Owner, unit.taskId(index),
+                      Candidates[candidateIndex].View->State.Life,
+                      task.Progress.Saved, task.Progress.Run + 1, unit.Rank,
+                      Now);
+  allocate(candidateIndex, unit.spec().taskResources());
   markRecentStart(candidateIndex, unit);
   if (unit.spec().MaxPerWorker > 0)
     --unit.TaskLimits[candidateIndex];
@@ -451,10 +453,10 @@
 void Planner::handleBlockedUnit(PlacementUnit &unit) {
   // The unit may become startable without an event, for example when the
   // quarantine of a worker ends.
-  Scheduler.Waits = true;
+  Scheduler.RetryOnTick = true;
   if (!unit.Owner->WaitLogged) {
     unit.Owner->WaitLogged = true;
-    Scheduler.note(
+    Scheduler.logDecision(
         Decision::Kind::Waiting, unit.Owner->Record.Spec.Id,
         core::taskName(unit.taskId(unit.Tasks.front())), 0, "",
         unit.spec().Gang ? "no capacity for the whole gang" : "no capacity",
