--- a/src/libs/jobs/fleet.h
+++ b/src/libs/jobs/fleet.h
@@ -23,8 +23,9 @@
   /// Time after the last grant for a worker by which its tasks have certainly
   /// ended.
   absl::Duration LostAfter = absl::Milliseconds(6000);
-  /// Number of consecutive failed runs, of different tasks, before a worker is
-  /// quarantined.
+  /// Number of consecutive failures, as counted by Fleet::recordEnd(), before a
+  /// worker is quarantined. Usually they are of different tasks, because a
+  /// failed task avoids the worker while others could hold it.
   int FailuresBeforeQuarantine = 2;
   /// Duration of the first quarantine; doubles with each further one up to
   /// MaxQuarantine.
@@ -47,8 +48,8 @@
   /// Time by which its tasks have ended unless its agent reports it as
   /// reachable again.
   absl::Time LostAt;
-  /// Resources of the runs on the worker, held until their end is listed or
-  /// they are known not to run.
+  /// Resources of the runs on the worker. A run's resources are released when
+  /// its end is listed or it is known not to run.
   std::map<RunId, core::Resources> Allocations;
   core::Resources Used;
   /// While the worker drains: the earliest time at which it shuts down.
@@ -57,6 +58,7 @@
   std::map<int64_t, bool> RunEnds;
   /// All ends up to this number have been recorded.
   int64_t SeenUpto = 0;
+  /// Failures since the last completed run; see Fleet::recordEnd().
   int ConsecutiveFailures = 0;
   int CompletedRuns = 0;
   /// Duration of the latest quarantine; zero after a completed run.
@@ -108,7 +110,8 @@
   /// already quarantined.
   bool quarantine(const WorkerIncarnation &incarnation, absl::Time now);
   /// Counts the end of a run, to quarantine workers that fail the tasks started
-  /// on them. Returns true if the worker is quarantined from now on.
+  /// on them. With ok false, the run failed or the unhealthy worker did not
+  /// start it. Returns true if the worker is quarantined from now on.
   bool recordEnd(const WorkerIncarnation &incarnation, bool ok, absl::Time now);
 
   void allocate(const WorkerIncarnation &incarnation, const RunId &run,
--- a/src/libs/jobs/jobscheduler.cpp
+++ b/src/libs/jobs/jobscheduler.cpp
@@ -195,9 +195,10 @@
   });
 }
 
-// Orders a recorded start, unless the job has ended or the worker was lost in
-// the meantime. In that case the run certainly never started if this would have
-// been the first order; an earlier order may still be carried out.
+// Orders a recorded start, unless in the meantime its stop was requested or its
+// worker was lost, started to drain, or reduced its capacity. In that case the
+// run certainly never started if this would have been the first order; an
+// earlier order may still be carried out.
 void JobScheduler::orderStart(Job &job, const TaskId &id, Task &task,
                               absl::Time now) {
   const WorkerView *worker = Workers.find(task.Progress.Worker);
--- a/src/libs/jobs/jobscheduler.h
+++ b/src/libs/jobs/jobscheduler.h
@@ -34,7 +34,8 @@
   /// kept them alive.
   absl::Duration UnreportedLostAfter = absl::Seconds(18);
   /// Factor by which a gang that is spread over several racks, or a task that
-  /// runs outside the rack of its data, takes longer.
+  /// runs outside the rack of its data, takes longer. The scheduler itself does
+  /// not use it.
   double RemoteFactor = 3.0;
   /// How long callers can query a job after its end.
   absl::Duration FinishedJobRetention = absl::Seconds(150);
@@ -50,10 +51,11 @@
   /// Capacity that batch work leaves on empty workers, as a multiple of what
   /// the urgent jobs that arrive within StopDuration are expected to request.
   double Headroom = 1;
-  /// Number of waiting gangs that capacity is reserved for at the same time:
-  /// MinReservedGangs or, on a large site, one for every WorkersPerReservedGang
-  /// workers, whichever is more. With one reservation the next large gang would
-  /// starve; with many the site would stand idle.
+  /// Number of waiting gangs, or other large units, that capacity is reserved
+  /// for at the same time because nothing is stopped for them: MinReservedGangs
+  /// or, on a large site, one for every WorkersPerReservedGang workers,
+  /// whichever is more. With one reservation the next large gang would starve;
+  /// with many the site would stand idle.
   int MinReservedGangs = 2;
   int WorkersPerReservedGang = 24;
   /// Expected time from the request to stop a run to its end.
@@ -175,7 +177,8 @@
   /// Returns the progress of all jobs that changed since their last write,
   /// except those with a write under way.
   std::vector<ProgressWrite> takeWrites();
-  /// The write was made at revision, also if that turned out only later.
+  /// The write was made at revision, also if that turned out only later. Orders
+  /// the starts and acknowledges the ends of runs that it recorded.
   void onWritten(const std::string &jobId, int64_t version, int64_t revision,
                  absl::Time now);
   /// The write failed or its outcome is unknown; it has to be repeated.
@@ -187,7 +190,8 @@
   /// Repeats orders without an answer, detects lost workers, stalled or slow
   /// runs and due occurrences. Must be called a few times a second.
   void tick(absl::Time now);
-  /// Runs a scheduling pass if anything changed that may let a task start.
+  /// Runs a scheduling pass if anything changed that may let a task start. Does
+  /// nothing before the first onConfig().
   void decide(absl::Time now);
 
   /// Returns the orders to send, by agent address, and clears them.
@@ -202,6 +206,7 @@
 
   /// Number of scheduling passes so far.
   int64_t passCount() const { return PassCount; }
+  /// Number of jobs that have not ended, waiting jobs included.
   size_t activeJobs() const;
   int64_t epoch() const { return Epoch; }
   const Fleet &fleet() const { return Workers; }
@@ -240,6 +245,8 @@
     bool CountCrashIfAbsent = false;
     absl::Time LastOrderAt = absl::InfinitePast();
     int Percent = 0;
+    /// Time at which the worker listed Percent. An agent that cannot reach its
+    /// worker does not advance it.
     absl::Time PercentReportedAt = absl::InfinitePast();
     /// The run's speed has been compared with other tasks of the same step.
     bool SpeedCompared = false;
@@ -265,15 +272,24 @@
     JobRecord Record;
     int64_t RecordRevision = 0;
     int64_t ProgressRevision = 0;
+    /// Version of the latest progress that takeWrites() returned or that a
+    /// previous leader recorded.
     int64_t Version = 0;
+    /// Version of the latest progress that is known to be in the store.
     int64_t WrittenVersion = 0;
     JobState State = JobState::Queued;
-    /// State as recorded by the last successful write.
+    /// State that a previous leader recorded. Later writes do not change it.
     JobState WrittenState = JobState::Queued;
     std::map<int, std::vector<Step>> Occurrences;
+    /// Time at which this leader first received the record. For jobs that a new
+    /// leader reads from the store, it is later than the submission.
     absl::Time Arrived;
+    /// Time of the job's end, or for a job that ended under a previous leader,
+    /// the time at which its progress was read.
     absl::Time FinishedAt = absl::InfiniteFuture();
+    /// The progress has changed since the latest takeWrites().
     bool Dirty = false;
+    /// A write of the progress is under way.
     bool Writing = false;
     /// The end of a run, to be acknowledged once progress of this version has
     /// been written.
@@ -291,7 +307,7 @@
     /// occurrence and step. Logged when it changes.
     std::map<std::pair<int, int>, const char *> LoggedCapacityPlans;
 
-    /// Rank in the planner's latest pass; see Planner::Unit.
+    /// Rank in the planner's latest pass; see Planner::PlacementUnit::Rank.
     int Rank = 0;
 
     bool hasEnded() const { return isFinal(State); }
--- a/src/libs/jobs/jobscheduler_incarnations.cpp
+++ b/src/libs/jobs/jobscheduler_incarnations.cpp
@@ -34,9 +34,12 @@
          pending.end();
 }
 
-// Orders the next incarnation with the same id to stop the run. Once it has
-// received that order it has either listed the run or will refuse it. Until
-// then the task is not started on any other worker.
+// Assigns the run to the next incarnation with the same id and orders that to
+// stop it. Once it has received the order it has either listed the run or will
+// refuse it. Until then the task is not started on any other worker. While next
+// is empty, the next incarnation is not known; the task then waits until an
+// incarnation reports, but for no longer than MaxOrderDelay after the first end
+// that was handled here. For a gang, the run is over for all members.
 void JobScheduler::resolveAtNextIncarnation(Job &job, const TaskId &id,
                                             Task &task,
                                             const WorkerIncarnation &next,
--- a/src/libs/jobs/jobscheduler_reports.cpp
+++ b/src/libs/jobs/jobscheduler_reports.cpp
@@ -183,6 +183,9 @@
   }
 }
 
+// Handles an end that a worker lists. It counts if it is the end of the latest
+// run, or if an earlier run has completed the task. Other ends are only
+// acknowledged.
 void JobScheduler::handleTaskEnd(const WorkerIncarnation &incarnation,
                                  const endpoints::EndedTask &end,
                                  absl::Time now) {
@@ -340,6 +343,9 @@
   }
 }
 
+// Handles a run that certainly is not running and cannot start any more, and
+// whose end is not known: releases its resources and unassigns the task, which
+// can then be started again. For a gang, the run is over for all members.
 void JobScheduler::handleAbsentRun(Job &job, const TaskId &id, Task &task,
                                    const std::string &why) {
   if (std::exchange(task.CountCrashIfAbsent, false))
@@ -362,7 +368,8 @@
   logDecision(Decision::Kind::Stopping, id.Job, core::taskName(id),
               task.Progress.Run, task.Progress.Worker.Id, why);
   // A start that is not recorded yet has not been ordered. It is dropped when
-  // its write is confirmed.
+  // its write is confirmed. Any other stop counts as last sent in the infinite
+  // past, as the current time is not known here: the next tick repeats it.
   if (task.RunPhase != Phase::Recording)
     orderStop(id, task, absl::InfinitePast());
 }
--- a/src/libs/jobs/jobservice.cpp
+++ b/src/libs/jobs/jobservice.cpp
@@ -139,7 +139,7 @@
   return Loop.now() - FailingSince() < StoreFailureGrace;
 }
 
-// Whether calls can be checked against the configuration held here. If a newer
+// Whether calls can be checked against this entry's configuration. If a newer
 // one is known, this entry may have passed on an answer that was based on it,
 // or another entry that has done so may be asking. An answer based on the older
 // one would contradict that.
@@ -396,6 +396,7 @@
   if (const KeyValue *config =
           findItem(reply.Value.Current, Config.condition().Key))
     Config.applyItem(*config, sentAt);
+  // Without time left, retryStoreCall() only forwards the call or finishes it.
   if (isOutOfTime(call)) {
     retryStoreCall(call, StoreStatus::Refused, {});
     return;
--- a/src/libs/jobs/jobservice.h
+++ b/src/libs/jobs/jobservice.h
@@ -35,10 +35,11 @@
   /// The same limit for calls forwarded by another entry, which is waiting for
   /// the answer.
   absl::Duration MaxForwardedRefusedTime = absl::Milliseconds(250);
-  /// Maximum age of the configuration view, which is confirmed continuously, at
-  /// which the store's watches are relied on as well. Without this check an
-  /// entry that the store had stopped serving showed jobs as running long after
-  /// their end.
+  /// Maximum age of the configuration view at which the view of the jobs, which
+  /// depends on the store's watches, is relied on as well. The configuration
+  /// view is confirmed continuously, so that its age shows how long the store
+  /// has not served this entry. Without this check an entry that the store had
+  /// stopped serving showed jobs as running long after their end.
   absl::Duration MaxViewAge = absl::Milliseconds(800);
   /// Maximum share of the caller's time that a call spends on a store that does
   /// not answer. The rest is left to the caller for asking another entry.
@@ -154,7 +155,8 @@
   absl::Duration storeTimeLeft(const CallPtr &call) const;
   /// Counts a try and returns the timeout of its store call.
   long nextTryTimeoutMs(const CallPtr &call) const;
-  /// Calls to the store have not been failing for long.
+  /// Calls to the store succeed, or have been failing for less than
+  /// StoreFailureGrace.
   bool isStoreUsable() const;
   bool isConfigUsable() const;
   /// The store answers, and its watches can be relied on; see MaxViewAge.
--- a/src/libs/jobs/jobview.h
+++ b/src/libs/jobs/jobview.h
@@ -37,6 +37,7 @@
   using OnEnded = std::function<void(const std::string &jobId)>;
   /// All jobs have been read, at first and after each readAgain().
   using OnComplete = std::function<void()>;
+  /// The value of key cannot be decoded. The job keeps its previous state.
   using OnRefused =
       std::function<void(const std::string &key, const utils::Error &)>;
   using OnStoreError =
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -85,8 +85,11 @@
     placeUnit(unit);
 }
 
-// Jobs of priority 0 are ranked within the guarantee, oldest first, as long as
-// the sum of their widest steps is covered by their organisation's guarantee.
+// Sets the rank of each job; see PlacementUnit::Rank. Jobs of priority 0 are
+// within the guarantee, oldest first, as long as their organisation's
+// guarantee covers the sum of the accelerators that their widest steps need.
+// A job that exceeds the guarantee counts in the sum too, so that all later
+// jobs of the organisation exceed it as well.
 void Planner::rankJobs() {
   std::vector<Job *> urgent;
   for (auto &[id, job] : Scheduler.Jobs) {
@@ -403,6 +406,8 @@
     --unit.TaskLimits[candidateIndex];
 }
 
+// The candidate for the next task of unit, or nothing if it fits on none.
+// Batch work does not use empty workers that are part of the headroom.
 std::optional<size_t>
 Planner::findBestCandidate(const PlacementUnit &unit) const {
   const core::StepSpec &spec = unit.spec();
--- a/src/libs/jobs/planner.h
+++ b/src/libs/jobs/planner.h
@@ -23,9 +23,9 @@
 ///
 /// Units are placed in this order: work of priority 0 within its
 /// organisation's guarantee, other work of priority 0, then by priority and
-/// arrival. All tasks of a gang start together. A gang that wants to run in
-/// one rack waits for a rack, because it runs several times as long when it is
-/// spread; it is spread only if no rack can ever hold it.
+/// arrival. All tasks of a gang start together. A gang that requests one rack
+/// waits for a rack, because it runs several times as long when it is spread;
+/// it is spread only if no rack could hold it even when empty.
 class Planner {
 public:
   Planner(JobScheduler &scheduler, absl::Time now);
--- a/src/libs/jobs/planner_capacity.cpp
+++ b/src/libs/jobs/planner_capacity.cpp
@@ -122,7 +122,7 @@
   addRunningUnits(job, occurrence, step);
 }
 
-// Keeps the order of the running units in the lists by rack.
+// Lists the running units by rack, each list in the order of all.
 Planner::SortedUnits Planner::indexByRack(RunningUnitList all) const {
   SortedUnits sorted;
   sorted.ByRack.resize(RackDomains.size());
@@ -184,7 +184,7 @@
 }
 
 // Adds the resources that runningUnit frees in domain to the candidates (sign
-// 1), or takes them away again (sign -1). Returns the change in the number of
+// 1), or removes them again (sign -1). Returns the change in the number of
 // unit's tasks that fit there.
 int64_t Planner::applyRelease(const PlacementUnit &unit,
                               const TopologyDomain &domain,
@@ -247,9 +247,11 @@
   return plan;
 }
 
-// Drops running units whose end turned out not to be needed. Goes through them
-// in reverse order, so that those with the highest cost (lost work, or time
-// until the end) are dropped first.
+// Drops running units whose end turned out not to be needed from the plan, in
+// reverse order, so that those with the highest cost (lost work, or time until
+// the end) are dropped first. The candidates must contain the resources that
+// the plan's units free; those of dropped units are removed from them. Fitting
+// is the number of unit's tasks that fit into domain with all of them.
 void Planner::pruneEndingUnits(const PlacementUnit &unit,
                                const TopologyDomain &domain, int64_t fitting,
                                CapacityPlan &plan) {
@@ -516,7 +518,8 @@
     refreshRunningUnits(*job, occurrence, step);
 }
 
-// Maximum number of units that reserve capacity while they wait.
+// Maximum number of units that reserveEarliestCapacity() reserves capacity for
+// in one pass. Reservations of secureCapacity() do not count.
 int Planner::maxReservations() const {
   return std::max(Scheduler.Policy.MinReservedGangs,
                   static_cast<int>(Candidates.size()) /
--- a/src/libs/jobs/progress.cpp
+++ b/src/libs/jobs/progress.cpp
@@ -69,11 +69,11 @@
 
 void DurationEstimator::recordTaskDuration(const std::string &queue,
                                            absl::Duration estimate,
-                                           absl::Duration took) {
-  if (estimate <= absl::ZeroDuration() || took <= absl::ZeroDuration())
+                                           absl::Duration actual) {
+  if (estimate <= absl::ZeroDuration() || actual <= absl::ZeroDuration())
     return;
   LogErrors &errors = Queues[queue];
-  const double logError = std::log(absl::FDivDuration(took, estimate));
+  const double logError = std::log(absl::FDivDuration(actual, estimate));
   // Welford's method: mean and sum of squares in one pass.
   ++errors.Count;
   const double previousDeviation = logError - errors.Mean;
--- a/src/libs/jobs/progress.h
+++ b/src/libs/jobs/progress.h
@@ -63,8 +63,8 @@
                            absl::Time now) const;
   /// Bounds on the duration of the whole run at its present rate. Percentages
   /// are whole numbers, so the bounds are wide early in a run. Returns nothing
-  /// until progress has been reported for MinRateWindow, and when the run is at
-  /// its end.
+  /// until progress has been reported for MinRateWindow, and from 100 percent
+  /// on.
   struct DurationBounds {
     absl::Duration AtLeast;
     absl::Duration AtMost;
@@ -99,9 +99,9 @@
 public:
   explicit DurationEstimator(ProgressPolicy policy) : Policy(policy) {}
 
-  /// Records the actual duration, took, of a task with the given estimate.
+  /// Records the actual duration of a task with the given estimate.
   void recordTaskDuration(const std::string &queue, absl::Duration estimate,
-                          absl::Duration took);
+                          absl::Duration actual);
   /// Duration from which a task is slower than the error of its estimate
   /// explains. Returns nothing while too little is known.
   std::optional<absl::Duration> slowThreshold(const std::string &queue,
--- a/src/libs/jobs/runmonitor.cpp
+++ b/src/libs/jobs/runmonitor.cpp
@@ -79,7 +79,7 @@
 
 // Members of a gang wait for each other, so a single stalled member stalls all
 // of them, and all are stalled until every member has started. Only a member
-// whose progress is behind that of another one is the cause.
+// that is more than one percent behind another one is the cause.
 bool RunMonitor::isBehindGang(const Step &step, const Task &task) {
   return std::any_of(step.begin(), step.end(), [&](const Task &other) {
     return other.isAssigned() && other.Percent > task.Percent + 1;
@@ -87,7 +87,8 @@
 }
 
 // Whether a run is stalled and better restarted elsewhere, because no other run
-// on its worker makes progress either.
+// on its worker makes progress either. A member of a gang must also be behind
+// another member, or have had the time to wait for the others and to stall.
 bool RunMonitor::isRunStalled(const Job &job, const TaskId &id,
                               const Task &task) const {
   if (!Scheduler.Progress.isStalled({core::taskName(id), task.Progress.Run}) ||
--- a/src/libs/jobs/runmonitor.h
+++ b/src/libs/jobs/runmonitor.h
@@ -18,7 +18,8 @@
   RunMonitor(JobScheduler &scheduler, absl::Time now)
       : Scheduler(scheduler), Now(now) {}
 
-  /// Requests the stop of every run that is better restarted elsewhere.
+  /// Requests the stop of every run that is better restarted elsewhere, and
+  /// quarantines its worker if the run is stalled or too slow.
   void checkRuns();
 
   /// Expected remaining time of the run, derived from its rate of progress once
