--- a/src/libs/jobs/jobscheduler.h
+++ b/src/libs/jobs/jobscheduler.h
@@ -232,6 +232,8 @@
     bool StopRequested = false;
     /// Version of the job's progress that records the start.
     int64_t StartWriteVersion = 0;
+    /// Time at which this leader first received a report that the run has
+    /// started.
     absl::Time StartedAt = absl::InfinitePast();
     /// The run started under this leader, so that its start time is known.
     bool StartObserved = false;
@@ -254,6 +256,8 @@
     absl::Duration RunDuration = absl::ZeroDuration();
     /// How often the task was moved because it was too slow.
     int Moves = 0;
+    /// Workers where a run of the task failed, or that did not start it because
+    /// they were unhealthy.
     std::set<WorkerIncarnation> FailedOn;
 
     /// A worker may be running the task.
@@ -383,6 +387,8 @@
                            absl::Time now);
   void handleTaskEnd(const WorkerIncarnation &incarnation,
                      const endpoints::EndedTask &end, absl::Time now);
+  /// Applies the outcome of an order. If it shows that the worker does not have
+  /// the run, the run is handled as absent.
   void handleOrderResult(const WorkerIncarnation &incarnation,
                          const endpoints::OrderResult &result, absl::Time now);
   static std::string stepName(const core::TaskId &id);
@@ -393,6 +399,8 @@
                          absl::Time now);
   void acknowledgeEnd(Job &job, const WorkerIncarnation &incarnation,
                       int64_t number);
+  /// Applies an end that counts to the task, or to all members of its gang, and
+  /// to what is known about its worker.
   void handleRunEnd(Job &job, const core::TaskId &id, Task &task,
                     endpoints::RunEnd how, const std::string &saved,
                     const WorkerIncarnation &incarnation, absl::Time now);
@@ -408,12 +416,15 @@
   /// Requests the end of the task's run, unless that was done before or no
   /// worker has the task.
   void requestStop(const core::TaskId &id, Task &task, const std::string &why);
+  /// Requests the stop of all tasks of the step that a worker may be running.
   void stopStep(Job &job, int number, int step, const std::string &why);
   /// Ends the job if all its tasks are done, a task has failed too often, or a
   /// task has crashed too many workers.
   void checkJobEnd(Job &job, absl::Time now);
   std::string crashFailureCause(Job &job);
   bool isRemote(const Job &job, const core::TaskId &id, const Task &task) const;
+  /// Ends the job in the given final state and requests the stop of all tasks
+  /// that are not done. The cause is logged if there is one.
   void endJob(Job &job, JobState state, absl::Time now,
               const std::string &cause = "");
   void orderStart(Job &job, const core::TaskId &id, Task &task, absl::Time now);
--- a/src/libs/jobs/jobservice.h
+++ b/src/libs/jobs/jobservice.h
@@ -178,6 +178,8 @@
   /// next, or retry after a delay if the store did not answer.
   void fetchRecord(const CallPtr &call, const Continuation &retry,
                    const Continuation &next);
+  /// Reads the progress of the call's job from the store into the view and
+  /// answers the call.
   void fetchProgress(const CallPtr &call);
   void answerQueueLength(const CallPtr &call);
   /// Answers a cancel call.
@@ -186,6 +188,9 @@
   /// The job is in the call's queue, and the queue is public or the job belongs
   /// to the call's organisation.
   bool isAccessAllowed(const CallPtr &call, const JobRecord &record) const;
+  /// Answers a state call. If the job has not ended in the view, asks the
+  /// leader first, or else waits for a report or the record of its end; see
+  /// EndReportDelay and EndRecordWaitLimit.
   void answerState(const CallPtr &call, const StoredJob &job);
   bool askLeader(const CallPtr &call);
   void onLeaderAnswer(const CallPtr &call,
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -228,6 +228,8 @@
     handleBlockedUnit(unit);
 }
 
+// Whether the worker is of the right service, has the required label and is not
+// one that unit avoids.
 bool Planner::isEligible(const WorkerView &view,
                          const PlacementUnit &unit) const {
   const endpoints::WorkerState &worker = view.State;
@@ -273,6 +275,8 @@
       }));
 }
 
+// Number of unit's tasks, maxTasks at most, that fit into the resources of the
+// candidate that unit may use now.
 int64_t Planner::countFitting(size_t candidateIndex, const PlacementUnit &unit,
                               int64_t maxTasks) const {
   maxTasks = std::min(maxTasks, unit.TaskLimits[candidateIndex]);
@@ -455,6 +459,9 @@
     refreshRunningUnits(*unit.Owner, unit.Occurrence, unit.Step);
 }
 
+// Obtains capacity for the tasks of unit that could not be placed. For work of
+// priority 0, others may be stopped; otherwise, or if that is not possible or
+// not worthwhile, reserves capacity that becomes free.
 void Planner::handleBlockedUnit(PlacementUnit &unit) {
   // The unit may become startable without an event, for example when the
   // quarantine of a worker ends.
--- a/src/libs/jobs/planner_suspects.cpp
+++ b/src/libs/jobs/planner_suspects.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-// Iterates over all running tasks, therefore only while there are suspect
-// tasks.
+// Marks the candidates with a recent start. Iterates over all running tasks,
+// therefore only while there are suspect tasks.
 void Planner::markRecentStarts() {
   const bool suspects =
       std::any_of(Scheduler.Jobs.begin(), Scheduler.Jobs.end(),
--- a/src/libs/jobs/progress.h
+++ b/src/libs/jobs/progress.h
@@ -47,7 +47,8 @@
   explicit ProgressTracker(ProgressPolicy policy) : Policy(policy) {}
 
   /// Records that a run on worker was reported at percent. Estimate is the
-  /// expected duration of the whole run.
+  /// expected duration of the whole run; resumed runs started from a
+  /// checkpoint.
   void recordProgress(const RunId &run, const WorkerIncarnation &worker,
                       int percent, absl::Duration estimate, bool resumed,
                       absl::Time now);
