--- a/src/libs/jobs/jobscheduler.h
+++ b/src/libs/jobs/jobscheduler.h
@@ -34,7 +34,8 @@
   /// kept them alive.
   absl::Duration UnreportedLostAfter = absl::Seconds(18);
   /// Factor by which a gang that is spread over several racks, or a task that
-  /// runs outside the rack of its data, takes longer.
+  /// runs outside the rack of its data, takes longer. The scheduler itself does
+  /// not use it.
   double RemoteFactor = 3.0;
   /// How long callers can query a job after its end.
   absl::Duration FinishedJobRetention = absl::Seconds(150);
@@ -50,10 +51,11 @@
   /// Capacity that batch work leaves on empty workers, as a multiple of what
   /// the urgent jobs that arrive within StopDuration are expected to request.
   double Headroom = 1;
-  /// Number of waiting gangs that capacity is reserved for at the same time:
-  /// MinReservedGangs or, on a large site, one for every WorkersPerReservedGang
-  /// workers, whichever is more. With one reservation the next large gang would
-  /// starve; with many the site would stand idle.
+  /// Number of waiting gangs, or other large units, that capacity is reserved
+  /// for at the same time because nothing is stopped for them: MinReservedGangs
+  /// or, on a large site, one for every WorkersPerReservedGang workers,
+  /// whichever is more. With one reservation the next large gang would starve;
+  /// with many the site would stand idle.
   int MinReservedGangs = 2;
   int WorkersPerReservedGang = 24;
   /// Expected time from the request to stop a run to its end.
@@ -175,7 +177,8 @@
   /// Returns the progress of all jobs that changed since their last write,
   /// except those with a write under way.
   std::vector<ProgressWrite> takeWrites();
-  /// The write was made at revision, also if that turned out only later.
+  /// The write was made at revision, also if that turned out only later. Orders
+  /// the starts and acknowledges the ends of runs that it recorded.
   void onWritten(const std::string &jobId, int64_t version, int64_t revision,
                  absl::Time now);
   /// The write failed or its outcome is unknown; it has to be repeated.
@@ -187,7 +190,8 @@
   /// Repeats orders without an answer, detects lost workers, stalled or slow
   /// runs and due occurrences. Must be called a few times a second.
   void tick(absl::Time now);
-  /// Runs a scheduling pass if anything changed that may let a task start.
+  /// Runs a scheduling pass if anything changed that may let a task start. Does
+  /// nothing before the first onConfig().
   void decide(absl::Time now);
 
   /// Returns the orders to send, by agent address, and clears them.
@@ -202,6 +206,7 @@
 
   /// Number of scheduling passes so far.
   int64_t passCount() const { return PassCount; }
+  /// Number of jobs that have not ended, waiting jobs included.
   size_t activeJobs() const;
   int64_t epoch() const { return Epoch; }
   const Fleet &fleet() const { return Workers; }
@@ -227,6 +232,8 @@
     bool StopRequested = false;
     /// Version of the job's progress that records the start.
     int64_t StartWriteVersion = 0;
+    /// Time at which this leader first received a report that the run has
+    /// started.
     absl::Time StartedAt = absl::InfinitePast();
     /// The run started under this leader, so that its start time is known.
     bool StartObserved = false;
@@ -240,6 +247,8 @@
     bool CountCrashIfAbsent = false;
     absl::Time LastOrderAt = absl::InfinitePast();
     int Percent = 0;
+    /// Time at which the worker listed Percent. An agent that cannot reach its
+    /// worker does not advance it.
     absl::Time PercentReportedAt = absl::InfinitePast();
     /// The run's speed has been compared with other tasks of the same step.
     bool SpeedCompared = false;
@@ -247,6 +256,8 @@
     absl::Duration RunDuration = absl::ZeroDuration();
     /// How often the task was moved because it was too slow.
     int Moves = 0;
+    /// Workers where a run of the task failed, or that did not start it because
+    /// they were unhealthy.
     std::set<WorkerIncarnation> FailedOn;
 
     /// A worker may be running the task.
@@ -265,15 +276,24 @@
     JobRecord Record;
     int64_t RecordRevision = 0;
     int64_t ProgressRevision = 0;
+    /// Version of the latest progress that takeWrites() returned or that a
+    /// previous leader recorded.
     int64_t Version = 0;
+    /// Version of the latest progress that is known to be in the store.
     int64_t WrittenVersion = 0;
     JobState State = JobState::Queued;
-    /// State as recorded by the last successful write.
+    /// State that a previous leader recorded. Later writes do not change it.
     JobState WrittenState = JobState::Queued;
     std::map<int, std::vector<Step>> Occurrences;
+    /// Time at which this leader first received the record. For jobs that a new
+    /// leader reads from the store, it is later than the submission.
     absl::Time Arrived;
+    /// Time of the job's end, or for a job that ended under a previous leader,
+    /// the time at which its progress was read.
     absl::Time FinishedAt = absl::InfiniteFuture();
+    /// The progress has changed since the latest takeWrites().
     bool Dirty = false;
+    /// A write of the progress is under way.
     bool Writing = false;
     /// The end of a run, to be acknowledged once progress of this version has
     /// been written.
@@ -291,7 +311,7 @@
     /// occurrence and step. Logged when it changes.
     std::map<std::pair<int, int>, const char *> LoggedCapacityPlans;
 
-    /// Rank in the planner's latest pass; see Planner::Unit.
+    /// Rank in the planner's latest pass; see Planner::PlacementUnit::Rank.
     int Rank = 0;
 
     bool hasEnded() const { return isFinal(State); }
@@ -367,6 +387,8 @@
                            absl::Time now);
   void handleTaskEnd(const WorkerIncarnation &incarnation,
                      const endpoints::EndedTask &end, absl::Time now);
+  /// Applies the outcome of an order. If it shows that the worker does not have
+  /// the run, the run is handled as absent.
   void handleOrderResult(const WorkerIncarnation &incarnation,
                          const endpoints::OrderResult &result, absl::Time now);
   static std::string stepName(const core::TaskId &id);
@@ -377,6 +399,8 @@
                          absl::Time now);
   void acknowledgeEnd(Job &job, const WorkerIncarnation &incarnation,
                       int64_t number);
+  /// Applies an end that counts to the task, or to all members of its gang, and
+  /// to what is known about its worker.
   void handleRunEnd(Job &job, const core::TaskId &id, Task &task,
                     endpoints::RunEnd how, const std::string &saved,
                     const WorkerIncarnation &incarnation, absl::Time now);
@@ -392,12 +416,15 @@
   /// Requests the end of the task's run, unless that was done before or no
   /// worker has the task.
   void requestStop(const core::TaskId &id, Task &task, const std::string &why);
+  /// Requests the stop of all tasks of the step that a worker may be running.
   void stopStep(Job &job, int number, int step, const std::string &why);
   /// Ends the job if all its tasks are done, a task has failed too often, or a
   /// task has crashed too many workers.
   void checkJobEnd(Job &job, absl::Time now);
   std::string crashFailureCause(Job &job);
   bool isRemote(const Job &job, const core::TaskId &id, const Task &task) const;
+  /// Ends the job in the given final state and requests the stop of all tasks
+  /// that are not done. The cause is logged if there is one.
   void endJob(Job &job, JobState state, absl::Time now,
               const std::string &cause = "");
   void orderStart(Job &job, const core::TaskId &id, Task &task, absl::Time now);
--- a/src/libs/jobs/jobservice.h
+++ b/src/libs/jobs/jobservice.h
@@ -35,10 +35,11 @@
   /// The same limit for calls forwarded by another entry, which is waiting for
   /// the answer.
   absl::Duration MaxForwardedRefusedTime = absl::Milliseconds(250);
-  /// Maximum age of the configuration view, which is confirmed continuously, at
-  /// which the store's watches are relied on as well. Without this check an
-  /// entry that the store had stopped serving showed jobs as running long after
-  /// their end.
+  /// Maximum age of the configuration view at which the view of the jobs, which
+  /// depends on the store's watches, is relied on as well. The configuration
+  /// view is confirmed continuously, so that its age shows how long the store
+  /// has not served this entry. Without this check an entry that the store had
+  /// stopped serving showed jobs as running long after their end.
   absl::Duration MaxViewAge = absl::Milliseconds(800);
   /// Maximum share of the caller's time that a call spends on a store that does
   /// not answer. The rest is left to the caller for asking another entry.
@@ -154,7 +155,8 @@
   absl::Duration storeTimeLeft(const CallPtr &call) const;
   /// Counts a try and returns the timeout of its store call.
   long nextTryTimeoutMs(const CallPtr &call) const;
-  /// Calls to the store have not been failing for long.
+  /// Calls to the store succeed, or have been failing for less than
+  /// StoreFailureGrace.
   bool isStoreUsable() const;
   bool isConfigUsable() const;
   /// The store answers, and its watches can be relied on; see MaxViewAge.
@@ -176,6 +178,8 @@
   /// next, or retry after a delay if the store did not answer.
   void fetchRecord(const CallPtr &call, const Continuation &retry,
                    const Continuation &next);
+  /// Reads the progress of the call's job from the store into the view and
+  /// answers the call.
   void fetchProgress(const CallPtr &call);
   void answerQueueLength(const CallPtr &call);
   /// Answers a cancel call.
@@ -184,6 +188,9 @@
   /// The job is in the call's queue, and the queue is public or the job belongs
   /// to the call's organisation.
   bool isAccessAllowed(const CallPtr &call, const JobRecord &record) const;
+  /// Answers a state call. If the job has not ended in the view, asks the
+  /// leader first, or else waits for a report or the record of its end; see
+  /// EndReportDelay and EndRecordWaitLimit.
   void answerState(const CallPtr &call, const StoredJob &job);
   bool askLeader(const CallPtr &call);
   void onLeaderAnswer(const CallPtr &call,
--- a/src/libs/jobs/planner.cpp
+++ b/src/libs/jobs/planner.cpp
@@ -85,8 +85,11 @@
     placeUnit(unit);
 }
 
-// Jobs of priority 0 are ranked within the guarantee, oldest first, as long as
-// the sum of their widest steps is covered by their organisation's guarantee.
+// Sets the rank of each job; see PlacementUnit::Rank. Jobs of priority 0 are
+// within the guarantee, oldest first, as long as their organisation's
+// guarantee covers the sum of the accelerators that their widest steps need.
+// A job that exceeds the guarantee counts in the sum too, so that all later
+// jobs of the organisation exceed it as well.
 void Planner::rankJobs() {
   std::vector<Job *> urgent;
   for (auto &[id, job] : Scheduler.Jobs) {
@@ -225,6 +228,8 @@
     handleBlockedUnit(unit);
 }
 
+// Whether the worker is of the right service, has the required label and is not
+// one that unit avoids.
 bool Planner::isEligible(const WorkerView &view,
                          const PlacementUnit &unit) const {
   const endpoints::WorkerState &worker = view.State;
@@ -270,6 +275,8 @@
       }));
 }
 
+// Number of unit's tasks, maxTasks at most, that fit into the resources of the
+// candidate that unit may use now.
 int64_t Planner::countFitting(size_t candidateIndex, const PlacementUnit &unit,
                               int64_t maxTasks) const {
   maxTasks = std::min(maxTasks, unit.TaskLimits[candidateIndex]);
@@ -403,6 +410,8 @@
     --unit.TaskLimits[candidateIndex];
 }
 
+// The candidate for the next task of unit, or nothing if it fits on none.
+// Batch work does not use empty workers that are part of the headroom.
 std::optional<size_t>
 Planner::findBestCandidate(const PlacementUnit &unit) const {
   const core::StepSpec &spec = unit.spec();
@@ -450,6 +459,9 @@
     refreshRunningUnits(*unit.Owner, unit.Occurrence, unit.Step);
 }
 
+// Obtains capacity for the tasks of unit that could not be placed. For work of
+// priority 0, others may be stopped; otherwise, or if that is not possible or
+// not worthwhile, reserves capacity that becomes free.
 void Planner::handleBlockedUnit(PlacementUnit &unit) {
   // The unit may become startable without an event, for example when the
   // quarantine of a worker ends.
--- a/src/libs/jobs/progress.h
+++ b/src/libs/jobs/progress.h
@@ -47,7 +47,8 @@
   explicit ProgressTracker(ProgressPolicy policy) : Policy(policy) {}
 
   /// Records that a run on worker was reported at percent. Estimate is the
-  /// expected duration of the whole run.
+  /// expected duration of the whole run; resumed runs started from a
+  /// checkpoint.
   void recordProgress(const RunId &run, const WorkerIncarnation &worker,
                       int percent, absl::Duration estimate, bool resumed,
                       absl::Time now);
@@ -63,8 +64,8 @@
                            absl::Time now) const;
   /// Bounds on the duration of the whole run at its present rate. Percentages
   /// are whole numbers, so the bounds are wide early in a run. Returns nothing
-  /// until progress has been reported for MinRateWindow, and when the run is at
-  /// its end.
+  /// until progress has been reported for MinRateWindow, and from 100 percent
+  /// on.
   struct DurationBounds {
     absl::Duration AtLeast;
     absl::Duration AtMost;
@@ -99,9 +100,9 @@
 public:
   explicit DurationEstimator(ProgressPolicy policy) : Policy(policy) {}
 
-  /// Records the actual duration, took, of a task with the given estimate.
+  /// Records the actual duration of a task with the given estimate.
   void recordTaskDuration(const std::string &queue, absl::Duration estimate,
-                          absl::Duration took);
+                          absl::Duration actual);
   /// Duration from which a task is slower than the error of its estimate
   /// explains. Returns nothing while too little is known.
   std::optional<absl::Duration> slowThreshold(const std::string &queue,
