--- a/src/libs/entry/callforwarder.h
+++ b/src/libs/entry/callforwarder.h
@@ -19,9 +19,9 @@
 
 /// Forwards callers' calls to other entries while the store does not serve this
 /// one: the store may refuse single entries, or a network partition may
-/// separate them from it, while it serves the others. Without forwarding, such
-/// a caller is told to retry after a second, which makes urgent jobs late by
-/// that time. Owned by one event loop.
+/// separate them from it, while it serves the others. Without forwarding, the
+/// callers of such an entry would be asked to retry after a second, which
+/// delays urgent jobs by that time. Owned by one event loop.
 class CallForwarder {
 public:
   /// Returns the addresses of the other entries, the preferred one first.
@@ -40,7 +40,8 @@
   CallForwarder &operator=(const CallForwarder &) = delete;
 
   /// Forwards a call. Returns false, without calling onAnswer, if no other
-  /// entry is known or none of them has answered lately.
+  /// entry is known or all of them are skipped because they recently failed to
+  /// answer.
   bool forward(const endpoints::ForwardedCall &call, OnAnswer onAnswer);
 
 private:
--- a/src/libs/entry/decisionpacer.h
+++ b/src/libs/entry/decisionpacer.h
@@ -5,12 +5,12 @@
 namespace oriolebay::entry {
 
 /// Limits the share of time that the leader spends on scheduling decisions, so
-/// that urgent messages are handled in time. Without it, in a burst the reports
-/// by which agents are granted time to keep their tasks alive queue up behind
-/// decisions; then all agents give up the leader at once and the leases of
-/// their runs expire. After a decision the next one is due no sooner than a
-/// multiple of its duration later. This bounds the share of time, and inputs
-/// that arrive in between are covered by one decision.
+/// that urgent messages are handled in time. Without this limit, a burst of
+/// inputs makes the agents' reports queue up behind decisions. The answers to
+/// these reports are the grants that keep tasks alive, so all agents give up
+/// the leader at once and the leases of their runs expire. After a decision the
+/// next one is due no sooner than a multiple of its duration later. Inputs that
+/// arrive in between are covered by one decision.
 class DecisionPacer {
 public:
   /// After a decision of duration T the next one is due restFactor times T
--- a/src/libs/entry/dispatcher.h
+++ b/src/libs/entry/dispatcher.h
@@ -31,7 +31,7 @@
 /// worker reserves the accelerators of its members, and only if all have done
 /// so are the members started. Each worker gets one message per phase, and all
 /// workers get theirs at the same time. The runs are distributed over several
-/// threads; the messages of one run keep their order.
+/// threads; the messages of one run are sent in order.
 class Dispatcher {
 public:
   using OnOutcome = std::function<void(StartOutcome)>;
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -19,6 +19,8 @@
 using utils::steadyNow;
 
 namespace {
+// Capacity of the inbox and of the queue of replies, as a multiple of the
+// maximum number of pending jobs.
 constexpr size_t InboxFactor = 8;
 constexpr int DispatchThreads = 4;
 constexpr int EntryCallTimeoutMs = 1000;
@@ -30,6 +32,8 @@
 // waits for the watcher, and costs one store call per second and entry when
 // nothing changes.
 constexpr long WatchPollMs = 1000;
+// Maximum time between two ticks of the scheduler. Also the polling period of a
+// graceful stop and the delay before the recorded runs are read again.
 const absl::Duration TickPeriod = absl::Milliseconds(20);
 const absl::Duration StatsPeriod = absl::Milliseconds(100);
 // The time between two updates of the counters is at least this many times the
@@ -180,9 +184,10 @@
     return ack;
   }
   const int64_t epoch = LeadingEpoch;
-  // During an outage of the store a leader that was replaced may not know it.
-  // Beyond this time limit it lets the leases of its agents expire. The next
-  // leader waits for the same time for workers that have not reported to it.
+  // During an outage of the store this leader may have been replaced without
+  // knowing it. If the store has not confirmed it for the configured time, it
+  // refuses messages, and the leases of its agents expire. The next leader
+  // waits for that time and a lease for workers that have not reported to it.
   const bool leadConfirmed = steadyNow() - Election->confirmedAt() <
                              absl::Milliseconds(Settings.OutageHoldMs);
   if (epoch == 0 || !leadConfirmed || Stopping) {
@@ -479,9 +484,9 @@
     logEvent(Event::JobFinished, {{"job", answer.Request.Job.Id},
                                   {"outcome", answer.Answer.Result}});
   }
-  // The answer of a non-idempotent gang must always be kept. An idempotent gang
-  // for which no caller has asked yet can run again for the caller that asks
-  // for it.
+  // The answer of a non-idempotent gang must always be cached. An adopted
+  // idempotent gang that has not been submitted to this leader can run again if
+  // it is submitted later.
   if (!answer.Orphan || !answer.Request.Job.Idempotent)
     cacheAnswer(answer.Request.GangId, answer.Answer);
   sendAnswer(answer.Request.GangId, answer.Answer);
@@ -498,6 +503,8 @@
   }
 }
 
+// Sends the answer to the entry that submitted the gang last. Does nothing if
+// that entry is unknown or has been sent an answer already.
 void EntryService::sendAnswer(const std::string &gangId,
                               const JobAnswer &answer) {
   auto it = ReplyAddresses.find(gangId);
@@ -567,6 +574,8 @@
   }
 }
 
+// Updates the counters for stats(), and removes the dispatcher's channels to
+// workers that are no longer known.
 void EntryService::publishStats() {
   if (!Scheduler) {
     WorkerCount = FreeAccelerators = PendingCount = RunningCount = 0;
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -26,11 +26,10 @@
 constexpr int LeaderAnswerTimeoutMs = 250;
 constexpr absl::Duration LeaderRetryDelay = absl::Seconds(1);
 /// Minimum time between two updates of an entry's view of the jobs and of the
-/// other entries, which adds to the age of that view beyond the delay of the
-/// watch itself. The ends of jobs, which callers must not see late, are
-/// requested from the leader, and entries that accept a new job notify the
-/// leader of it. The leader's own view is the fallback if such a message is
-/// lost.
+/// other entries. It adds to the delay of the watch. Callers do not see the end
+/// of a job late, because it is requested from the leader. The leader learns of
+/// a new job from the entry that accepted it, and from its own view if that
+/// message is lost.
 constexpr absl::Duration ViewUpdatePause = absl::Milliseconds(500);
 constexpr absl::Duration LeaderViewUpdatePause = absl::Milliseconds(100);
 /// Maximum number of entries that are listed for an agent in addition to the
@@ -273,6 +272,7 @@
       absl::Milliseconds(Settings.Bounds.RestoreMs);
   options.Policy.StopDuration = absl::Milliseconds(Settings.Bounds.StopGraceMs);
   options.Policy.ReclaimAfter = Time.ReclaimAfter;
+  // The setting is a minimum, so jobs are retained for a quarter longer.
   options.Policy.FinishedJobRetention =
       absl::Milliseconds(Settings.Bounds.KeepFinishedMs) * 5 / 4;
   options.Policy.WallMs = [] { return absl::ToUnixMillis(utils::wallNow()); };
@@ -328,6 +328,7 @@
   beginSession();
 }
 
+// Notifies the leader of a job record that this entry has written.
 void JobEntry::onJobWritten(const platform::KeyValue &item) {
   if (Leader.Epoch == 0 || Leader.Mine)
     return;
@@ -353,11 +354,11 @@
   return Forwarder->forward(
       jobs::toMessage(call, Loop.now()),
       [done](const std::optional<endpoints::ForwardedAnswer> &answer,
-             bool mayBeDone) {
+             bool possiblyExecuted) {
         if (answer)
-          done(jobs::toAnswer(*answer), mayBeDone);
+          done(jobs::toAnswer(*answer), possiblyExecuted);
         else
-          done(std::nullopt, mayBeDone);
+          done(std::nullopt, possiblyExecuted);
       });
 }
 
--- a/src/libs/entry/jobentry.h
+++ b/src/libs/entry/jobentry.h
@@ -42,10 +42,11 @@
   size_t Workers = 0;
 };
 
-/// An entry that serves lasting jobs. It keeps a view of the configuration and
-/// of the jobs, serves callers through its job service, takes part in the
-/// election, and runs a leader session while it leads. Everything runs on one
-/// event loop.
+/// An entry for jobs that are recorded in the store and outlive the call that
+/// submitted them; EntryService serves gangs whose callers wait for the answer.
+/// It follows the configuration and the jobs, serves callers through its job
+/// service, takes part in the election, and runs a leader session while it
+/// leads. Everything runs on one event loop.
 class JobEntry {
 public:
   JobEntry(utils::EventLoop &loop, const platform::Store &store,
@@ -104,8 +105,8 @@
   bool Stopping = false;
   /// Addresses of the registered entries, by their keys.
   std::map<std::string, std::string> EntryAddresses;
-  /// The largest processor share with which any entry has registered. It is
-  /// kept when the registration is removed, because all registrations expire
+  /// The largest processor share with which any entry has registered. It does
+  /// not decrease when registrations are removed, because all of them expire
   /// together in an outage of the store.
   double LargestProcessorShare = 0;
   std::unique_ptr<operators::ConfigFollower> Config;
--- a/src/libs/entry/leadersession.cpp
+++ b/src/libs/entry/leadersession.cpp
@@ -107,9 +107,9 @@
   ack.Epoch = Epoch;
   ack.SeenUpto = Scheduler.onReport(report, now);
   ack.Speed = Scheduler.speedOf(report.Agent);
-  // Without the store this entry may have been replaced. It continues for a
-  // limited time; a new leader waits for that time for workers that it cannot
-  // reach.
+  // Without confirmation from the store this entry may have been replaced. It
+  // continues to grant for GrantWithoutStore. A new leader waits for that time
+  // and the last grant before it counts tasks on unreachable workers as lost.
   const absl::Duration unconfirmedFor = now - LastConfirmed();
   ack.Doubtful = unconfirmedFor > Options.DoubtfulAfter;
   if (report.Reachable && unconfirmedFor < Options.GrantWithoutStore)
@@ -181,6 +181,8 @@
     writeBatch(std::move(batch));
 }
 
+// Writes the progress of several jobs in one transaction, on condition that
+// this entry still leads and that no record in it has changed since.
 void LeaderSession::writeBatch(std::vector<ProgressWrite> batch) {
   platform::StoreTxn txn;
   txn.Expected.push_back({Options.LeaderKey, Epoch});
@@ -231,9 +233,9 @@
     resolveConflict(progressWrite, current);
 }
 
-// Resolves the conflict for one job of a batch: it was cancelled, or its
-// earlier write took effect although the answer was lost. The other jobs of the
-// batch are written again.
+// Resolves the conflict for one job of a batch: its record was removed or
+// changed (a cancellation), or its earlier write took effect although the
+// answer was lost. Jobs that still exist are written again.
 void LeaderSession::resolveConflict(const ProgressWrite &progressWrite,
                                     const std::vector<KeyValue> &current) {
   const KeyValue *spec = findItem(current, jobs::specKey(progressWrite.JobId));
--- a/src/libs/entry/previousleaders.cpp
+++ b/src/libs/entry/previousleaders.cpp
@@ -15,8 +15,8 @@
 
 std::string encode(const std::vector<LeaderTerm> &terms) {
   json list = json::array();
-  for (const LeaderTerm &r : terms)
-    list.push_back({r.Epoch, r.Address});
+  for (const LeaderTerm &term : terms)
+    list.push_back({term.Epoch, term.Address});
   return list.dump();
 }
 
@@ -87,9 +87,12 @@
   // This entry is registered already: the answer to its own write was lost.
   PreviousTerms = std::move(previousTerms);
   Revision = reply.Value.ModRevision;
-  requestAllStepDowns();
+  completeRegistration();
 }
 
+// Adds this leader to the list, on condition that it still leads and that the
+// list has the given revision (zero: does not exist). After a failure the list
+// is read again.
 void PreviousLeaders::registerTerm(std::vector<LeaderTerm> previousTerms,
                                    int64_t revision) {
   std::vector<LeaderTerm> all = previousTerms;
@@ -110,11 +113,13 @@
         }
         PreviousTerms = previousTerms;
         Revision = reply.Value.Revision;
-        requestAllStepDowns();
+        completeRegistration();
       });
 }
 
-void PreviousLeaders::requestAllStepDowns() {
+// Reports that this leader is registered, and asks the previous leaders to step
+// down. If there are none, that is reported at once.
+void PreviousLeaders::completeRegistration() {
   ReportRegistered();
   if (PreviousTerms.empty()) {
     ReportAllGone(Loop.now());
@@ -128,6 +133,7 @@
     requestStepDown(term);
 }
 
+// Repeats the request until the leader confirms or the time limit has passed.
 void PreviousLeaders::requestStepDown(const LeaderTerm &term) {
   // This process has ended its own earlier terms already.
   if (term.Address == Params.OwnTerm.Address) {
@@ -163,8 +169,8 @@
     onNoneLeft();
 }
 
-// The time limit is counted from this leader's registration, which is later
-// than its election.
+// The time limit counts from this leader's election. The timer starts at its
+// registration, which is later, so it never ends too early.
 void PreviousLeaders::onTimeLimit() {
   if (PreviousTerms.empty())
     return;
@@ -177,6 +183,7 @@
   removePreviousTerms();
 }
 
+// Reduces the list in the store to this leader.
 void PreviousLeaders::removePreviousTerms() {
   platform::StoreTxn txn;
   txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
--- a/src/libs/entry/previousleaders.h
+++ b/src/libs/entry/previousleaders.h
@@ -28,13 +28,13 @@
 /// The previous leaders that may still keep tasks alive on agents which the new
 /// leader cannot reach. Without this list, a new leader would have to wait for
 /// the longest time that any previous leader can continue without the store. A
-/// previous leader that confirms that it has stepped down, or whose process has
-/// been restarted, has stopped already. The list is kept in the store, and each
-/// leader registers itself before it does anything else, so that the list is
-/// complete. A leader whose time limit has passed is removed from the list
-/// without its confirmation: its host may never answer again, and every later
-/// leader would wait for it anew (18 s each, for a task on a host that is lost
-/// as well). Owned by one event loop.
+/// previous leader keeps no task alive once it confirms that it has stepped
+/// down; a process that was restarted since its term confirms at once. The list
+/// is kept in the store, and each leader registers itself before it does
+/// anything else, so that the list is complete. A leader whose time limit has
+/// passed is removed from the list without its confirmation: its host may never
+/// answer again, and every later leader would wait for it too (18 s each time,
+/// for a task on a host that is lost as well). Owned by one event loop.
 class PreviousLeaders {
 public:
   struct Options {
@@ -67,7 +67,7 @@
   void registerTerm(std::vector<LeaderTerm> previousTerms, int64_t revision);
   void scheduleRead();
   void requestStepDown(const LeaderTerm &term);
-  void requestAllStepDowns();
+  void completeRegistration();
   void onSteppedDown(const LeaderTerm &term);
   void onTimeLimit();
   void onNoneLeft();
--- a/src/libs/entry/recorder.cpp
+++ b/src/libs/entry/recorder.cpp
@@ -68,8 +68,8 @@
 }
 
 void Recorder::end(RecordEnd request) {
-  // If the end of a run were dropped, a later leader would adopt the run for
-  // nothing. Therefore wait until the queue has space; the thread empties it
+  // If the deletion were dropped, a later leader would adopt a run that has
+  // ended. Therefore wait until the queue has space; the thread empties it
   // continuously.
   Request item = std::move(request);
   while (!Requests.tryPush(item) && !StopRequested.HasBeenNotified())
@@ -93,6 +93,8 @@
   writeEnds();
 }
 
+// Writes one transaction. On a conflict, currentItems receives the items that
+// the conditions refer to.
 Recorder::WriteResult Recorder::write(const std::vector<Compare> &conditions,
                                       const std::vector<Write> &writes,
                                       std::vector<KeyValue> &currentItems) {
@@ -116,10 +118,12 @@
                       NotRunReason::StoreUnavailable, detail, RetryAfterMs);
 }
 
-// Determines why a conditional write was refused: another entry leads, another
-// gang holds the idempotency key, or an earlier write of this run took effect
-// although its reply was lost. Sets canRetry if the write can be retried, and
-// then keyRevision to the revision of the idempotency key that the retry must
+// Determines why a conditional write was refused: another entry leads, a
+// request with the idempotency key has been answered already (its answer is
+// returned), another gang holds the key, the record that was to be replaced no
+// longer exists, or an earlier write of this run took effect although its reply
+// was lost. In the last two cases the write can be retried: sets canRetry, and
+// keyRevision to the revision of the idempotency key that the retry must
 // expect.
 RecordOutcome
 Recorder::explainConflict(const RecordStart &request,
--- a/src/libs/entry/recorder.h
+++ b/src/libs/entry/recorder.h
@@ -23,8 +23,9 @@
   scheduler::StartGang Start;
   int64_t PriorRevision = 0;
 };
-/// A run that ended or will not start, so that its record is deleted. Answer
-/// completes the at-most-once record of a non-idempotent request that ran.
+/// The deletion of the record of a run that ended or will not start. If the run
+/// is of a non-idempotent request that ran, Job and Answer are set and complete
+/// its at-most-once record.
 struct RecordEnd {
   int64_t Epoch = 0;
   scheduler::RunId Run;
@@ -42,6 +43,8 @@
   Kind What = Kind::Refused;
   RecordStart Request;
   core::JobAnswer Answer;
+  /// The gang id of the gang that holds the key, and the revision of its
+  /// record.
   std::string Holder;
   int64_t HolderRevision = 0;
 };
@@ -70,6 +73,9 @@
 
 private:
   using Request = std::variant<RecordStart, RecordEnd>;
+  /// Conflict: a condition was not met. Unknown: the store call failed, so the
+  /// write may have taken effect, or no call was made because the store counts
+  /// as down.
   enum class WriteResult { Done, Conflict, Unknown };
 
   void processRequests();
--- a/src/libs/entry/submitter.h
+++ b/src/libs/entry/submitter.h
@@ -15,9 +15,9 @@
 
 namespace oriolebay::entry {
 
-/// Holds the callers that wait at this entry, and ensures that the leader has
-/// their gangs: it submits each gang to the leader, and submits it again under
-/// the same gang id when another entry becomes leader.
+/// Blocks the callers at this entry until they are answered, and ensures that
+/// the leader has their gangs: it submits each gang to the leader, and submits
+/// it again under the same gang id when another entry becomes leader.
 class Submitter {
 public:
   /// Passes a message to this entry's own scheduler. Returns false if its queue
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -83,7 +83,8 @@
   SlotLayoutDirty = true;
 }
 
-// Clears the members on a worker that is gone and adds their runs to runs.
+// Clears the members on a worker that was lost or restarted, and adds their
+// runs to runs.
 void ClusterState::clearMembers(const std::string &workerId,
                                 std::vector<RunId> &runs) {
   for (auto &[run, gang] : Gangs) {
--- a/src/libs/placement/clusterstate.h
+++ b/src/libs/placement/clusterstate.h
@@ -53,8 +53,8 @@
   /// organisation.
   static constexpr int64_t Borrowed = 0;
   static constexpr int64_t SharedCapacity = -1;
-  /// Whether at least one member stands in a slot of the gang's organisation or
-  /// in capacity that is guaranteed to nobody. Such a gang is not preempted for
+  /// Whether at least one member uses a slot of the gang's organisation or
+  /// capacity that is guaranteed to nobody. Such a gang is not preempted for
   /// another organisation's guarantee.
   bool hasOwnCapacity() const {
     return std::any_of(Slots.begin(), Slots.end(),
@@ -138,13 +138,14 @@
         const std::set<std::string> &avoidedWorkers = {});
   /// Takes over a run that was placed by an earlier leader. It is charged as
   /// running on its workers, including those that have not announced themselves
-  /// yet.
+  /// yet. A non-idempotent gang uses shared capacity and an idempotent one
+  /// borrows, until slots of its organisation are assigned to it.
   void adopt(const RunId &run, const core::JobRequest &job,
              const Assignment &workers);
   /// Records that a stop of run was requested.
   void markStopping(const RunId &run);
   /// Frees the accelerators and slots of run; ignores unknown runs. Returns the
-  /// gangs that waited for the end of this run only and can be started now.
+  /// gangs that waited only for the end of this run and can be started now.
   std::vector<RunId> release(const RunId &run);
   /// Returns the runs to stop so that the charged power falls to the cap again,
   /// after the cap was lowered or tasks were measured above their declaration.
@@ -207,6 +208,8 @@
     std::vector<int64_t> Slots;
     std::map<int64_t, std::string> Moves;
   };
+  /// The workers for a gang, and the runs that must end before it starts. Some
+  /// of these may be stopping already.
   struct PlacementPlan {
     Assignment Workers;
     std::set<RunId> Victims;
--- a/src/libs/placement/clusterstate_admission.cpp
+++ b/src/libs/placement/clusterstate_admission.cpp
@@ -194,8 +194,8 @@
     auto workers = Place(availableInSlots, job.GangShape);
     // If slots can move, the plan is checked. The slots of runs that are yet to
     // be stopped count as used in that check, so it may fail; the second
-    // attempt leaves the slots in place, and their free capacity is exact
-    // without a check.
+    // attempt does not move slots, and their free capacity is exact without a
+    // check.
     if (workers &&
         (!canMoveSlots || planSlots(organisationOf(job), *workers,
                                     job.GangShape.AcceleratorsPerMember)))
@@ -204,6 +204,9 @@
   return std::nullopt;
 }
 
+// Plans to place the job on accelerators that become free when other gangs are
+// stopped, ownVictims in any case. Returns nothing if the gang does not fit
+// even then, or not under the power cap.
 std::optional<ClusterState::PlacementPlan> ClusterState::planPreemption(
     const core::JobRequest &job, bool usesSlots,
     const std::set<RunId> &ownVictims, absl::Time now,
@@ -217,9 +220,9 @@
     if (gang.Stopping)
       stoppingRuns.insert(run);
   std::optional<Assignment> assignment;
-  // Plan without more and more of the candidates until the whole gang fits.
-  // Doubling their number keeps the number of placement attempts logarithmic in
-  // the number of candidates.
+  // Plan as if ever more of the candidates had ended, until the whole gang
+  // fits. Doubling their number keeps the number of placement attempts
+  // logarithmic in the number of candidates.
   for (size_t n = 0;; n = n == 0 ? 1 : n * 2) {
     std::set<RunId> excludedRuns = ownVictims;
     excludedRuns.insert(stoppingRuns.begin(), stoppingRuns.end());
@@ -241,6 +244,8 @@
   stopOrder.insert(stopOrder.end(), candidates.begin(), candidates.end());
   PlacementPlan plan{*assignment,
                      selectVictims(job, *assignment, ownVictims, stopOrder)};
+  // If the power cap requires it, wait for the end of further gangs: those that
+  // are stopping already, and those of organisations beyond their guarantee.
   const int64_t neededWatts = expectedWatts(job);
   for (const Allocation *gang : stopOrder) {
     if (committedWatts(plan.Victims) + neededWatts <= powerCapWatts())
@@ -253,6 +258,9 @@
   return plan;
 }
 
+// Records the gang on the planned workers and assigns slots or shared capacity
+// to it. If slots cannot be assigned yet, an idempotent gang counts as
+// borrowing and a non-idempotent one uses shared capacity.
 const Allocation &ClusterState::commitPlan(const RunId &run,
                                            const core::JobRequest &job,
                                            PlacementPlan plan,
@@ -268,7 +276,7 @@
   for (const std::string &w : gang.Workers)
     Workers.at(w).Used += job.GangShape.AcceleratorsPerMember;
   // The organisation's own batch work gives up its slots to its urgent gang
-  // now, but keeps the accelerators until it has stopped.
+  // now, but uses the accelerators until it has stopped.
   for (const RunId &victim : gang.WaitsFor)
     releaseSlots(Gangs.at(victim));
   Allocation &stored = Gangs[run] = std::move(gang);
--- a/src/libs/placement/clusterstate_slots.cpp
+++ b/src/libs/placement/clusterstate_slots.cpp
@@ -244,8 +244,8 @@
       }
     }
     if (chosen == 0 && movableSlot != 0) {
-      // The capacity that the slot leaves behind is not counted as free. That
-      // keeps the plan independent of the order in which its moves are made.
+      // The capacity that the slot reserved before the move is not counted as
+      // free. The plan is then independent of the order of its moves.
       plan.Moves[movableSlot] = worker;
       movedIn[worker] += Slots.at(movableSlot).Width;
       chosen = movableSlot;
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 // Placement of waiting gangs is retried when something changed, and at least
-// with this period, because quarantines and drains end by time alone.
+// with this period, because quarantines, drains and wait limits end by time
+// alone.
 const absl::Duration PlacementPeriod = absl::Milliseconds(200);
 // Timeouts of workers and of stops are measured in seconds. Checking them in
 // each tick would cost more than all other work on a large idle site.
@@ -130,10 +131,9 @@
   }
 }
 
-// Stops tasks of runs that this scheduler does not have any more, so that no
-// caller waits for them: their worker was partitioned and given up as lost, or
-// their start was never confirmed. They would use accelerators and power for
-// nothing.
+// Stops tasks of runs that this scheduler no longer has: their worker was
+// partitioned and given up as lost, or their start was never confirmed. No
+// caller waits for them, and they would use accelerators and power in vain.
 void GangScheduler::stopUnknownTasks(const endpoints::Announce &announce) {
   for (const endpoints::TaskStatus &task : announce.Tasks)
     if (Runs.count(task.Run) == 0)
@@ -163,6 +163,8 @@
   }
 }
 
+// Handles the first complete list of tasks of a worker: members of adopted runs
+// that should be on it, but are not in the list, are lost.
 void GangScheduler::checkAdoptedRuns(const endpoints::Announce &announce,
                                      absl::Time now) {
   const std::string &id = announce.Worker.Id;
@@ -258,6 +260,8 @@
                   now);
 }
 
+// Records the end of a member. The failure of one member stops the run, and the
+// end of the last member finishes it.
 void GangScheduler::handleMemberEnd(const RunId &run, core::MemberResult result,
                                     absl::Time now) {
   RunState &r = Runs.at(run);
@@ -274,6 +278,8 @@
     finishRun(run, now);
 }
 
+// Stops the run and ends as failed those of its members that have no result and
+// were on worker, or on a worker that has been removed from the state.
 void GangScheduler::handleLostMembers(const RunId &run,
                                       const std::string &worker,
                                       absl::Time now) {
@@ -306,6 +312,8 @@
          gang.Attempt < Limits.MaxAttempts;
 }
 
+// Answers the caller with the results of the members that have ended, unless it
+// has been answered already.
 void GangScheduler::answerCaller(const RunState &run, Outcome outcome,
                                  const std::string &detail) {
   if (run.Answered)
@@ -319,6 +327,9 @@
       AnswerCaller{run.Gang.Request, std::move(answer), run.Orphan});
 }
 
+// Begins to stop the run, unless that has begun already. A run that was not
+// started yet is released instead; its gang is requeued, or answered if it was
+// cancelled.
 void GangScheduler::beginStop(const RunId &run, StopCause cause,
                               const std::string &detail, absl::Time now) {
   auto it = Runs.find(run);
@@ -509,6 +520,7 @@
       refusePending(gang, *refusal);
       continue;
     }
+    // Workers are kept free for at most one gang at a time.
     if (gang.DrainedWorkers.empty() && drainedWorkers.empty() &&
         now - gang.WaitingSince >= Limits.StarveAfter &&
         refusal->Reason == NotRunReason::NoCapacity &&
@@ -524,6 +536,7 @@
   }
 }
 
+// Returns nothing if the gang was placed; it has then become a run.
 std::optional<placement::Refusal>
 GangScheduler::tryPlace(PendingGang &gang, absl::Time now,
                         const std::set<std::string> &drainedWorkers) {
@@ -564,6 +577,8 @@
   return std::nullopt;
 }
 
+// Answers the caller of a waiting gang. Removing the gang from Pending is left
+// to the calling function.
 void GangScheduler::refusePending(PendingGang &gang,
                                   const placement::Refusal &refusal) {
   // A gang that ran and was stopped has run in part, so it must not be answered
--- a/src/libs/scheduler/gangscheduler.h
+++ b/src/libs/scheduler/gangscheduler.h
@@ -30,10 +30,12 @@
   /// Waiting time after which other work is kept off the workers that are
   /// closest to having enough free capacity for the gang.
   absl::Duration StarveAfter = absl::Milliseconds(500);
+  /// Delay after which a refused caller is asked to try again.
   int64_t RetryAfterMs = 1000;
   /// Maximum number of runs of a gang, not counting runs that were stopped for
   /// a guarantee or for the power cap.
   int MaxAttempts = 3;
+  /// Maximum number of waiting gangs. Beyond it, one of them is refused.
   size_t MaxPending = 1024;
 };
 
@@ -62,8 +64,8 @@
 struct AnswerCaller {
   GangRequest Request;
   core::JobAnswer Answer;
-  /// The gang was adopted from an earlier leader and no caller has asked for it
-  /// yet. A caller that asks for it later may have it run again.
+  /// The gang was adopted from an earlier leader and has not been submitted to
+  /// this one. If it is submitted later, it may run again.
   bool Orphan = false;
 };
 /// Action: delete the record of a run that has ended or will not start.
@@ -111,11 +113,13 @@
   void cancel(const std::string &organisation, const std::string &jobId,
               absl::Time now);
   void onProfile(const core::Profile &profile);
-  /// Handles an agent's announcement. Fenced says that the agent knew of this
-  /// leader when it listed its tasks, so that its list is complete.
+  /// Handles an agent's announcement. Fenced: the agent knew of this leader
+  /// when it listed its tasks. It refuses later starts by earlier leaders, so
+  /// its list is complete.
   void onAnnounce(const endpoints::Announce &announce, bool fenced,
                   absl::Time now);
-  /// No member of run was started, because worker refused or did not answer.
+  /// No member of run was started, because worker refused or did not answer;
+  /// worker is empty if the start could not be sent at all.
   void onStartRefused(const RunId &run, const std::string &worker);
   /// No member of run was started; its caller is sent the given answer.
   void onStartAborted(const RunId &run, core::JobAnswer answer);
@@ -124,8 +128,8 @@
   void onTaskResult(const endpoints::TaskResult &result, absl::Time now);
   /// Adopts a run of an earlier leader. It counts as running until its workers
   /// have announced themselves or orphanLease has passed. It is not retried
-  /// unless a caller asks for it again, because its caller may already have
-  /// been told that it did not run.
+  /// unless it is submitted again, because its caller may already have received
+  /// the answer that it did not run.
   void adopt(const AdoptedRun &run, absl::Time now, absl::Duration orphanLease);
   /// Handles unresponsive and lost workers, enforces the power cap and places
   /// waiting gangs. To be called frequently.
@@ -168,7 +172,7 @@
     PendingGang Gang;
     bool Dispatched = false;
     bool Answered = false;
-    /// Adopted from an earlier leader, and no caller has asked for it yet.
+    /// Adopted from an earlier leader, and not submitted to this one yet.
     bool Orphan = false;
     absl::Time LastStopSent = absl::InfinitePast();
     StopCause Cause = StopCause::None;
