--- a/src/libs/agent/agentservice.cpp
+++ b/src/libs/agent/agentservice.cpp
@@ -20,7 +20,10 @@
 // One in this many heartbeats is sent to all entries, so that a previous leader
 // that was paused and answers again is detected within this many heartbeats.
 constexpr uint64_t HeartbeatsPerBroadcast = 3;
+// Timeout of all calls to the back end other than running a task.
 constexpr long BackendControlTimeoutMs = 1000;
+// Pause before a stop or a report is sent again, and between checks of a
+// condition.
 const absl::Duration RetryPeriod = absl::Milliseconds(100);
 // After the drain timeout the remaining tasks are checkpointed. This is the
 // maximum time that the agent waits for the back end to do that and for the
--- a/src/libs/agent/agentservice.h
+++ b/src/libs/agent/agentservice.h
@@ -48,17 +48,29 @@
   static constexpr int DefaultTaskLeaseMs = 10000;
 
   endpoints::Message onRequest(const endpoints::Message &message);
+  /// Stops the tasks that a previous agent process left on the back end. Waits
+  /// until the back end confirms this, or until this process stops.
   void stopLeftoverTasks();
+  /// The announcer thread: sends heartbeats, renews the task leases and drops
+  /// reservations that timed out.
   void runHeartbeats();
   void sendHeartbeats();
   std::vector<std::shared_ptr<endpoints::RequestChannel>> heartbeatTargets();
   void handleAck(const endpoints::Ack &ack,
                  const std::shared_ptr<endpoints::RequestChannel> &entry,
                  absl::Time sent);
+  /// Renews the back end's lease for the rest of the time for which tasks may
+  /// run without an answer from the leading entry.
   void renewTaskLeases(endpoints::BackendClient &backend);
+  /// A runner thread: runs queued tasks one at a time.
   void runTasks();
+  /// The stopper thread: sends requested stops to the back end.
   void stopTasks();
+  /// The reporter thread: sends the results of ended tasks to the leading
+  /// entry.
   void reportResults();
+  /// Returns whether no task and no reservation is left, at deadline at the
+  /// latest.
   bool waitUntilIdle(absl::Time deadline);
 
   const settings::AgentSettings Settings;
--- a/src/libs/agent/starttracker.h
+++ b/src/libs/agent/starttracker.h
@@ -24,7 +24,9 @@
   void recordListed(const endpoints::RunId &run);
   /// Records that the worker certainly did not start the run.
   void recordNotStarted(const endpoints::RunId &run);
-  /// Records that the worker answered a call.
+  /// Records that the worker answered a call. Drops the listed starts that are
+  /// older than endpoints::CrashDetectionWindow: they can neither have crashed
+  /// the worker nor start late.
   void recordAnswer(absl::Time now);
   /// Records that a call got no answer.
   void recordNoAnswer(absl::Time now);
--- a/src/libs/agent/tasktable.cpp
+++ b/src/libs/agent/tasktable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 // Maximum number of remembered runs that must not start (again); the oldest are
-// dropped first. A message that names such a run can only be as old as the
-// longest call, which takes a few seconds. At a hundred starts per second this
+// dropped first. A delayed message for one of these runs is at most as old as
+// the longest call, that is, a few seconds. At a hundred starts per second this
 // number covers more than half a minute.
 constexpr size_t MaxRefusedRuns = 4096;
 } // namespace
--- a/src/libs/agent/tasktable.h
+++ b/src/libs/agent/tasktable.h
@@ -14,7 +14,8 @@
 
 namespace oriolebay::agent {
 
-/// A task that a runner thread executes.
+/// A task that a runner thread executes. Saved is the checkpoint to resume
+/// from; empty if there is none.
 struct Task {
   std::string Run;
   std::string JobId;
@@ -36,7 +37,7 @@
 
   /// Reserves accelerators for the members of a run. Returns an empty string on
   /// success, else the reason of the refusal. Reserving the same run again is
-  /// not an error.
+  /// not an error and does not extend its timeout.
   std::string reserve(const endpoints::Reserve &message, absl::Time now);
   /// Turns a reservation into tasks that can start. Returns an empty string and
   /// the tasks in out, else the reason of the refusal. A run is started at most
@@ -57,19 +58,23 @@
   bool beginRun(const TaskKey &key);
   /// Marks the task as ended on the back end and frees its accelerators.
   void endRun(const TaskKey &key);
-  /// Removes a task whose end was reported and acknowledged.
+  /// Removes a task whose end the leading entry acknowledged, or whose end can
+  /// no longer be reported because this process stops.
   void removeReported(const TaskKey &key);
 
   /// Waits until a running task has to be stopped, and returns the tasks that
   /// were not returned before. Tasks that have not ended after the retry period
   /// are returned again. Returns an empty list once the table is closed.
   std::vector<TaskKey> awaitStops(absl::Duration retry);
+  /// Makes awaitStops() return an empty list from now on.
   void close();
 
   /// Frees reservations that were not started in time and returns their runs.
   std::vector<std::string> dropExpired(absl::Time now);
+  /// Records the measured draw of tasks. Unknown tasks are ignored.
   void recordWatts(const std::vector<endpoints::TaskStatus> &measured);
-  /// Returns the tasks whose end has not been reported.
+  /// Returns all tasks that are not removed: those that wait for a runner,
+  /// those that run, and those whose end has not been acknowledged.
   std::vector<endpoints::TaskStatus> unreportedTasks() const;
   /// Returns whether there are neither tasks nor reservations.
   bool isIdle() const;
@@ -92,6 +97,7 @@
     int64_t Watts = -1;
   };
 
+  /// Refuses to reserve or start the run from now on.
   void markRefused(const std::string &run);
 
   const absl::Duration ReservationTimeout;
@@ -101,6 +107,7 @@
   std::map<std::string, Reservation> Reservations;
   std::map<TaskKey, TaskState> Tasks;
   absl::flat_hash_set<std::string> RefusedRuns;
+  /// The refused runs, the oldest refusal first.
   std::deque<std::string> RefusalOrder;
 };
 
--- a/src/libs/agent/unansweredstarts.h
+++ b/src/libs/agent/unansweredstarts.h
@@ -15,7 +15,9 @@
 /// threads, clock or sockets.
 class UnansweredStarts {
 public:
-  /// Records that an attempt to start the run got no answer.
+  /// Records that an attempt to start the run got no answer. It stays recorded
+  /// for endpoints::MaxOrderDelay, because the worker does not carry it out
+  /// after that time.
   void recordAttempt(const endpoints::RunId &run, absl::Time now);
   /// Records that no incarnation can carry out the run from now on.
   void markResolved(const endpoints::RunId &run) { LastAttempts.erase(run); }
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -57,21 +57,24 @@
   WorkerAgent(const WorkerAgent &) = delete;
   WorkerAgent &operator=(const WorkerAgent &) = delete;
 
+  /// Starts the periodic reports. Heartbeats and orders are handled from the
+  /// construction on.
   void start();
-  /// Handles a heartbeat of the worker. Returns true if the heartbeat can be
-  /// acknowledged.
+  /// Handles a heartbeat of the worker. Returns whether the heartbeat can be
+  /// acknowledged; this is always the case, also for an ignored heartbeat.
   bool onHeartbeat(const endpoints::Heartbeat &heartbeat);
   /// Handles the deregistration of a worker incarnation, which announces its
   /// end.
   void onDeregister(const endpoints::WorkerIncarnation &incarnation);
   /// Stops as planned: the tasks are kept alive for as long as granted, so that
   /// they survive the change to the next agent process. Calls done when this
-  /// process can end.
+  /// process can end. Further calls have no effect and do not call done.
   void stop(std::function<void()> done);
   AgentStatus status() const;
 
 private:
   struct Order;
+  /// A task and the number of its run.
   using RunKey = std::pair<std::string, int64_t>;
   using OrderPtr = std::shared_ptr<Order>;
 
@@ -100,37 +103,61 @@
   bool hasEnded(const endpoints::WorkerIncarnation &incarnation) const;
   void removeIncarnationEnd(const endpoints::WorkerIncarnation &incarnation);
 
+  /// Sends a keep-alive call, which also polls the worker. waitMs is the
+  /// maximum time for which the worker may delay its answer.
   void sendKeepAlive(int64_t waitMs);
   endpoints::KeepAliveCall makeKeepAliveCall(int64_t waitMs) const;
+  /// Sends a keep-alive call after delay, unless another one is scheduled or,
+  /// by then, in flight.
   void scheduleKeepAlive(absl::Duration delay);
+  /// Handles the answer to the keep-alive call with this number, which was sent
+  /// with this epoch.
   void onKeepAliveReply(uint64_t number, int64_t epoch,
                         const endpoints::KeepAliveReply &reply);
   absl::Duration pauseBeforePoll() const;
   /// Counts a failed poll, and reports the worker as unreachable after several.
   void recordFailedPoll(const std::string &why);
+  /// Records that the worker answered, with its clock. Has no effect if the
+  /// answer contained no clock (zero).
   void recordWorkerClock(int64_t clockMs);
   /// Returns the time on the worker's clock until which the grant allows its
   /// tasks to run; zero if the grant has expired or the clock is unknown.
   int64_t keepAliveUntilMs() const;
 
+  /// Sends the next attempt of a start. Completes the order without an attempt
+  /// if the run must not start any more.
   void startTask(const OrderPtr &order);
-  void onStarted(const OrderPtr &order, const endpoints::CallOutcome &outcome);
+  /// Handles the outcome of an attempt of a start, also if it got no answer.
+  void onStartReply(const OrderPtr &order,
+                    const endpoints::CallOutcome &outcome);
+  /// Sends the next attempt of a stop.
   void stopTask(const OrderPtr &order);
-  void onStopped(const OrderPtr &order, const endpoints::CallOutcome &outcome);
-  /// Completes the stops whose runs the lists of this call no longer contain.
+  /// Handles the outcome of an attempt of a stop, also if it got no answer.
+  void onStopReply(const OrderPtr &order,
+                   const endpoints::CallOutcome &outcome);
+  /// Resolves the stops whose runs are no longer listed as running in the
+  /// answer to the keep-alive call with this number. A run that is not listed
+  /// as ended either is reported as absent.
   void resolveStops(uint64_t callNumber);
+  /// Remembers, logs and reports the outcome of an order.
   void completeOrder(const RunKey &run, endpoints::OrderOutcome outcome,
                      const std::string &detail);
 
+  /// Sends a report in the next iteration of the event loop.
   void reportSoon();
   void report();
+  /// Sends a report after the report interval, and schedules the next one.
   void scheduleReport();
   void sendReport(const std::string &address,
                   const endpoints::WorkerReport &message);
+  /// Handles the answer to a report. sent is when the report was sent, from
+  /// which the grant counts; resultsEnd is the number after that of the last
+  /// result in the report.
   void onReportAck(const std::string &address, const endpoints::ReportAck &ack,
                    absl::Time sent, uint64_t resultsEnd);
   void onReportUnanswered(const std::string &address);
   void reportAfter(absl::Duration delay);
+  /// Logs once that the grant has expired.
   void logGrantEnd();
   void readEntriesFromStore();
   static std::vector<std::string>
--- a/src/libs/agent/workeragent_incarnation.cpp
+++ b/src/libs/agent/workeragent_incarnation.cpp
@@ -75,8 +75,9 @@
   }
 }
 
-// Logged once per incarnation: a single delayed heartbeat is common, while many
-// of them mean that the incarnation is still running.
+// Logs only the first ignored heartbeat of each incarnation. A single delayed
+// heartbeat is common, while many mean that the incarnation is still running
+// although it counts as ended.
 void WorkerAgent::logIgnoredHeartbeat(const Heartbeat &heartbeat) {
   if (!IgnoredIncarnations.insert(heartbeat.Worker.Life).second)
     return;
--- a/src/libs/agent/workeragent_orders.cpp
+++ b/src/libs/agent/workeragent_orders.cpp
@@ -170,11 +170,12 @@
   SentStarts.recordSent({key.first, key.second}, Loop.now());
   Worker.Start(call, [this, alive = Alive, order](const CallOutcome &outcome) {
     if (*alive && order->Incarnation == State.Life)
-      onStarted(order, outcome);
+      onStartReply(order, outcome);
   });
 }
 
-void WorkerAgent::onStarted(const OrderPtr &order, const CallOutcome &outcome) {
+void WorkerAgent::onStartReply(const OrderPtr &order,
+                               const CallOutcome &outcome) {
   const RunKey key{order->Start.Task, order->Start.Run};
   recordWorkerClock(outcome.ClockMs);
   auto end = [&](OrderOutcome result) {
@@ -231,11 +232,12 @@
   ++order->Attempts;
   Worker.Stop(call, [this, alive = Alive, order](const CallOutcome &outcome) {
     if (*alive && order->Incarnation == State.Life)
-      onStopped(order, outcome);
+      onStopReply(order, outcome);
   });
 }
 
-void WorkerAgent::onStopped(const OrderPtr &order, const CallOutcome &outcome) {
+void WorkerAgent::onStopReply(const OrderPtr &order,
+                              const CallOutcome &outcome) {
   const RunKey key{order->Stop.Task, order->Stop.Run};
   recordWorkerClock(outcome.ClockMs);
   if (outcome.Status == CallStatus::Ok) {
--- a/src/libs/endpoints/asyncreplyserver.h
+++ b/src/libs/endpoints/asyncreplyserver.h
@@ -16,6 +16,8 @@
 /// handled on the loop, and several can be unanswered at the same time.
 class AsyncReplyServer {
 public:
+  /// Sends the answer to a request. Has no effect after the server was
+  /// destroyed.
   using Respond = std::function<void(const Message &)>;
   using Handler = std::function<void(const Message &, Respond)>;
 
--- a/src/libs/endpoints/messages.h
+++ b/src/libs/endpoints/messages.h
@@ -128,10 +128,12 @@
   auto operator<=>(const Cancel &) const = default;
 };
 
-/// The answer to every message. If Ok is false, Detail contains the reason. A
-/// leading entry answers with its Epoch, other entries with zero, and both with
-/// the newest profile version that they have in force. TaskLeaseMs is how long
-/// tasks may continue to run without an answer from the leading entry.
+/// The answer to every message that has no answer type of its own, and the
+/// answer to any message that is refused as a whole. If Ok is false, Detail
+/// contains the reason. A leading entry answers with its Epoch, other entries
+/// with zero, and both with the newest profile version that they have in force.
+/// TaskLeaseMs is how long tasks may continue to run without an answer from the
+/// leading entry.
 struct Ack {
   bool Ok = true;
   std::string Detail;
@@ -290,10 +292,12 @@
 };
 
 /// The answer to a WorkerReport. Epoch is zero if the entry does not lead.
-/// Leader and LeaderEpoch name the leader that the entry knows. Doubtful: the
+/// Leader and LeaderEpoch name the leader that the entry knows, Entries the
+/// addresses of some entries. Doubtful: the
 /// entry leads, but the store has not confirmed its lease for longer than the
 /// lease time. GrantMs: time for which the agent may keep the worker's tasks
-/// alive, counted from when it sent the report. SeenUpto: ends of this
+/// alive, counted from when it sent the report; zero does not extend the last
+/// grant. SeenUpto: ends of this
 /// incarnation up to this number are recorded.
 struct ReportAck {
   int64_t Epoch = 0;
--- a/src/libs/endpoints/pendingcall.h
+++ b/src/libs/endpoints/pendingcall.h
@@ -69,6 +69,7 @@
     static_cast<PendingCall *>(self)->advance();
   }
 
+  /// Handles the end of the send, and then the end of the receive.
   void advance() {
     const int ec = nng_aio_result(Aio);
     if (!RequestSent) {
--- a/src/libs/endpoints/workercalls.h
+++ b/src/libs/endpoints/workercalls.h
@@ -29,7 +29,9 @@
   OtherIncarnation,
   /// No byte of the call was sent, so nothing was done.
   NotSent,
-  /// Nothing listens at the worker's address, so its process has ended.
+  /// Nothing listens at the worker's address. Its process has ended if this
+  /// repeats; a listener may be missing for a moment. Starts and stops with
+  /// this outcome were not carried out.
   NotListening,
   /// No answer: the worker may have carried out the call, or may still do so.
   NoAnswer,
@@ -57,7 +59,8 @@
 };
 
 /// Starts a run. UntilMs is a time on the worker's clock: all runs of the
-/// worker end then unless they are kept alive longer.
+/// worker end then unless they are kept alive longer. FreshConnection opens a
+/// new connection, because the previous one may have stopped working.
 struct StartCall {
   WorkerIncarnation Incarnation;
   StartOrder Order;
@@ -66,6 +69,7 @@
   bool FreshConnection = false;
 };
 
+/// Stops a run. FreshConnection has the same meaning as for StartCall.
 struct StopCall {
   WorkerIncarnation Incarnation;
   StopOrder Order;
--- a/src/libs/platform/kvclient.cpp
+++ b/src/libs/platform/kvclient.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Maximum number of keys per page. The record of a gang of 128 members takes
-// about 1.6 KB.
+// Maximum number of keys per page. It is bounded because the store limits the
+// size of an answer, and the record of a gang of 128 members takes about 1.6
+// KB.
 constexpr int MaxKeysPerPage = 400;
 
 std::string encodeBase64(const std::string &s) { return absl::Base64Escape(s); }
--- a/src/libs/platform/kvclient.h
+++ b/src/libs/platform/kvclient.h
@@ -40,7 +40,7 @@
 };
 
 /// The result of a transaction. If Succeeded is false, nothing was written and
-/// Current contains those of the compared keys that exist.
+/// Current contains the compared keys, without keys that do not exist.
 struct TxnResult {
   bool Succeeded = false;
   int64_t Revision = 0;
@@ -102,6 +102,8 @@
   int64_t calls() const { return Calls.load(); }
 
 private:
+  /// Sends a call and returns the JSON of the answer. timeoutMs zero selects
+  /// TimeoutMs.
   utils::Result<nlohmann::json>
   post(const std::string &path, const nlohmann::json &body, long timeoutMs = 0);
 
--- a/src/libs/platform/leaderelection.h
+++ b/src/libs/platform/leaderelection.h
@@ -50,18 +50,24 @@
   LeaderElection(const LeaderElection &) = delete;
   LeaderElection &operator=(const LeaderElection &) = delete;
 
-  /// Returns when the store last confirmed that this entry leads, on the steady
-  /// clock.
+  /// Returns when the store last confirmed that this entry leads: the time on
+  /// the steady clock at which the confirmed call was sent. Infinite past if
+  /// the entry has never led; resign() resets it to infinite past.
   absl::Time confirmedAt() const;
 
-  /// Returns whether another entry is registered and could take over.
+  /// Returns whether another entry is registered and could take over. Returns
+  /// false if the store does not answer.
   bool othersRegistered();
   /// Gives up leadership immediately and does not acquire it again.
   void resign();
   void stop();
 
 private:
+  /// Renews the registration and reads the leader's key. Then tries to create
+  /// the key if it does not exist, or watches it if another entry leads.
   utils::Result<void> runOnce();
+  /// Renews the lease. If it has expired or none was requested yet, requests a
+  /// new one and registers this entry with it.
   utils::Result<void> ensureRegistered();
   utils::Result<void> readLeaderKey();
   void setLeadership(Leadership next);
--- a/src/libs/platform/prefixfollower.h
+++ b/src/libs/platform/prefixfollower.h
@@ -74,7 +74,11 @@
   void watch(uint64_t round);
   void watchAfterDelay(uint64_t round);
   void onEvents(uint64_t round, const StoreReply<StoreEvents> &reply);
+  /// Calls action after the retry pause and doubles the pause, up to its
+  /// maximum.
   void retry(uint64_t round, std::function<void()> action);
+  /// Reports the event unless its revision, or a newer one of the same key, is
+  /// known.
   void apply(const StoreEvent &event);
 
   utils::EventLoop &Loop;
--- a/src/libs/platform/store.h
+++ b/src/libs/platform/store.h
@@ -91,7 +91,7 @@
 };
 
 /// Result of a transaction: its revision or, after a Conflict, the current
-/// state of those keys of its conditions that exist.
+/// state of the keys in its conditions, without keys that do not exist.
 struct StoreTxnReply {
   int64_t Revision = 0;
   std::vector<KeyValue> Current;
@@ -107,7 +107,8 @@
 };
 
 /// Consistency of a read. Linearizable reads include every acknowledged write.
-/// MaybeStale reads can be seconds old, but cost only a fraction of that.
+/// MaybeStale reads can be seconds old, but cost only a fraction of a
+/// linearizable read.
 enum class ReadMode { Linearizable, MaybeStale };
 
 /// The platform's key-value store as asynchronous calls. A store adapter
@@ -115,7 +116,8 @@
 /// within its timeout, on the owner's event loop.
 struct Store {
   std::function<void(const std::string &key, OnStoreReply<KeyValue>)> Get;
-  /// Reads a page of the keys under prefix that sort behind after.
+  /// Reads a page of the keys under prefix, from the first key that sorts
+  /// behind the key after; an empty after selects the first page.
   std::function<void(const std::string &prefix, const std::string &after,
                      ReadMode, OnStoreReply<StorePage>)>
       Range;
--- a/src/libs/platform/storehealth.h
+++ b/src/libs/platform/storehealth.h
@@ -14,8 +14,8 @@
 
 namespace oriolebay::platform {
 
-/// Monitors all store calls of this process to detect whether the store is
-/// available. Owned by one event loop.
+/// Monitors the store calls of this process, except watches, to detect whether
+/// the store is available. Owned by one event loop.
 class StoreHealth {
 public:
   /// Called when the store becomes unavailable (ok false, with the error in
@@ -35,13 +35,16 @@
   StoreHealth(const StoreHealth &) = delete;
   StoreHealth &operator=(const StoreHealth &) = delete;
 
-  /// Returns a store that forwards to inner and records every outcome here.
-  /// Answers that arrive after the destruction of this object are dropped.
+  /// Returns a store that forwards to inner and records the outcome of every
+  /// call except watches here. Answers that arrive after the destruction of
+  /// this object are dropped.
   Store monitored(const Store &inner);
 
-  /// Returns the time of the first failure since the last successful call, or
-  /// infinite future if there is none.
+  /// Returns the time of the first failure since the store last answered a
+  /// call, or infinite future if there is none. An answer that the key or lease
+  /// does not exist, or that a condition does not hold, is not a failure.
   absl::Time failingSince() const { return FailingSince; }
+  /// Number of recorded calls, and number of those that failed.
   int64_t calls() const { return Calls; }
   int64_t failures() const { return Failures; }
 
