--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -334,7 +334,7 @@
   scheduler::Policy p;
   p.HeartbeatTimeout = absl::Milliseconds(Settings.HeartbeatTimeoutMs);
   p.TaskLease = absl::Milliseconds(Settings.TaskLeaseMs) + LeaseSlack;
-  p.StarveAfter = absl::Milliseconds(Settings.StarveAfterMs);
+  p.DrainWorkersAfter = absl::Milliseconds(Settings.StarveAfterMs);
   p.RetryAfterMs = Settings.RetryAfterMs;
   p.MaxAttempts = Settings.MaxAttempts;
   p.MaxPending = static_cast<size_t>(Settings.MaxPendingJobs);
@@ -357,7 +357,7 @@
 
 void EntryService::recordStart(const RecordStart &request) {
   const scheduler::StartGang &start = request.Start;
-  if (RunRecorder->start(request))
+  if (RunRecorder->recordStart(request))
     return;
   RunsBeingRecorded.erase(start.Run);
   Scheduler->onStartAborted(
@@ -522,20 +522,20 @@
       absl::SleepFor(absl::Milliseconds(1));
 }
 
-void EntryService::perform(const scheduler::ForgetRun &forget) {
+void EntryService::perform(const scheduler::DeleteRunRecord &deletion) {
   // A run without a record may have been refused because another gang holds its
   // idempotency key. The record of that gang must not be overwritten.
-  if (RecordedRuns.erase(forget.Run) == 0)
+  if (RecordedRuns.erase(deletion.Run) == 0)
     return;
-  RecordEnd end{LeadingEpoch, forget.Run, std::nullopt, forget.Request.GangId,
-                std::nullopt};
-  auto it = RecentAnswers.find(forget.Request.GangId);
-  if (!forget.Request.Job.Idempotent && it != RecentAnswers.end() &&
+  DeleteRecord end{LeadingEpoch, deletion.Run, std::nullopt,
+                   deletion.Request.GangId, std::nullopt};
+  auto it = RecentAnswers.find(deletion.Request.GangId);
+  if (!deletion.Request.Job.Idempotent && it != RecentAnswers.end() &&
       it->second.Result != Outcome::NotRun) {
-    end.Job = forget.Request.Job;
+    end.Job = deletion.Request.Job;
     end.Answer = it->second;
   }
-  RunRecorder->end(std::move(end));
+  RunRecorder->recordEnd(std::move(end));
 }
 
 void EntryService::perform(const scheduler::LogReason &logReason) {
--- a/src/libs/entry/entryservice.h
+++ b/src/libs/entry/entryservice.h
@@ -75,7 +75,7 @@
   void perform(const scheduler::StartGang &start);
   void perform(const scheduler::StopGang &stop);
   void perform(const scheduler::AnswerCaller &answer);
-  void perform(const scheduler::ForgetRun &forget);
+  void perform(const scheduler::DeleteRunRecord &deletion);
   void perform(const scheduler::LogReason &logReason);
   void sendAnswer(const std::string &gangId, const core::JobAnswer &answer);
   void cacheAnswer(const std::string &gangId, const core::JobAnswer &answer);
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -180,7 +180,7 @@
   s.LeaderEpoch = Leader.Epoch;
   s.JobsKnown = View->jobs().size();
   if (s.Leads) {
-    s.ActiveJobs = Session->scheduler().activeJobs();
+    s.ActiveJobs = Session->scheduler().unfinishedJobCount();
     s.Workers = Session->scheduler().fleet().workers().size();
   }
   return s;
--- a/src/libs/entry/leadersession.cpp
+++ b/src/libs/entry/leadersession.cpp
@@ -56,8 +56,8 @@
         Registered = true;
         onRegistered();
       },
-      [this](absl::Time goneSince) {
-        Scheduler.onPreviousLeadersGone(goneSince);
+      [this](absl::Time endTime) {
+        Scheduler.onPreviousLeadersEnded(endTime);
       });
   Previous->start();
 }
--- a/src/libs/entry/previousleaders.cpp
+++ b/src/libs/entry/previousleaders.cpp
@@ -41,10 +41,11 @@
 PreviousLeaders::PreviousLeaders(utils::EventLoop &loop,
                                  const platform::Store &store,
                                  const endpoints::Peers &peers, Options options,
-                                 OnRegistered onRegistered, OnAllGone onAllGone)
+                                 OnRegistered onRegistered,
+                                 OnAllEnded onAllEnded)
     : Loop(loop), StoreClient(store), Peers(peers), Params(std::move(options)),
       ReportRegistered(std::move(onRegistered)),
-      ReportAllGone(std::move(onAllGone)) {}
+      ReportAllEnded(std::move(onAllEnded)) {}
 
 PreviousLeaders::~PreviousLeaders() { *Alive = false; }
 
@@ -122,7 +123,7 @@
 void PreviousLeaders::completeRegistration() {
   ReportRegistered();
   if (PreviousTerms.empty()) {
-    ReportAllGone(Loop.now());
+    ReportAllEnded(Loop.now());
     return;
   }
   Loop.runAfter(Params.TimeLimit, [this, alive = Alive] {
@@ -179,7 +180,7 @@
 }
 
 void PreviousLeaders::onNoneLeft() {
-  ReportAllGone(Loop.now());
+  ReportAllEnded(Loop.now());
   removePreviousTerms();
 }
 
--- a/src/libs/entry/previousleaders.h
+++ b/src/libs/entry/previousleaders.h
@@ -50,11 +50,11 @@
   /// This leader is registered in the list and can begin.
   using OnRegistered = std::function<void()>;
   /// From the given time on, no previous leader keeps any task alive.
-  using OnAllGone = std::function<void(absl::Time)>;
+  using OnAllEnded = std::function<void(absl::Time)>;
 
   PreviousLeaders(utils::EventLoop &loop, const platform::Store &store,
                   const endpoints::Peers &peers, Options options,
-                  OnRegistered onRegistered, OnAllGone onAllGone);
+                  OnRegistered onRegistered, OnAllEnded onAllEnded);
   ~PreviousLeaders();
   PreviousLeaders(const PreviousLeaders &) = delete;
   PreviousLeaders &operator=(const PreviousLeaders &) = delete;
@@ -78,7 +78,7 @@
   const endpoints::Peers &Peers;
   const Options Params;
   const OnRegistered ReportRegistered;
-  const OnAllGone ReportAllGone;
+  const OnAllEnded ReportAllEnded;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   std::vector<LeaderTerm> PreviousTerms;
   int64_t Revision = 0;
--- a/src/libs/entry/recorder.cpp
+++ b/src/libs/entry/recorder.cpp
@@ -63,11 +63,11 @@
     Thread.join();
 }
 
-bool Recorder::start(RecordStart request) {
+bool Recorder::recordStart(RecordStart request) {
   return Requests.tryPush(std::move(request));
 }
 
-void Recorder::end(RecordEnd request) {
+void Recorder::recordEnd(DeleteRecord request) {
   // If the deletion were dropped, a later leader would adopt a run that has
   // ended. Therefore wait until the queue has space; the thread empties it
   // continuously.
@@ -85,7 +85,7 @@
     if (request && std::holds_alternative<RecordStart>(*request))
       writeStart(std::get<RecordStart>(*request));
     else if (request)
-      PendingEnds.push_back(std::get<RecordEnd>(std::move(*request)));
+      PendingEnds.push_back(std::get<DeleteRecord>(std::move(*request)));
     // Starts are written first, because callers wait for them.
     if (Requests.size() == 0)
       writeEnds();
@@ -203,7 +203,7 @@
   if (steadyNow() >= StoreDownUntil)
     StoreDownUntil = steadyNow() + StoreDownTime;
   PendingEnds.push_back(
-      RecordEnd{request.Epoch, start.Run, std::nullopt, "", {}});
+      DeleteRecord{request.Epoch, start.Run, std::nullopt, "", {}});
   DeliverOutcome(
       {RecordOutcome::Kind::Refused, request,
        refusal(request, "the store did not confirm the start; nothing was "
@@ -213,7 +213,7 @@
 
 void Recorder::writeEnds() {
   while (!PendingEnds.empty() && steadyNow() >= StoreDownUntil) {
-    const RecordEnd &end = PendingEnds.front();
+    const DeleteRecord &end = PendingEnds.front();
     std::vector<Write> writes{{gangKey(end.Run), std::nullopt, 0}};
     if (end.Job && end.Answer)
       writes.push_back(
--- a/src/libs/entry/recorder.h
+++ b/src/libs/entry/recorder.h
@@ -26,7 +26,7 @@
 /// The deletion of the record of a run that ended or will not start. If the run
 /// is of a non-idempotent request that ran, Job and Answer are set and complete
 /// its at-most-once record.
-struct RecordEnd {
+struct DeleteRecord {
   int64_t Epoch = 0;
   scheduler::RunId Run;
   std::optional<core::JobRequest> Job;
@@ -63,16 +63,16 @@
   ~Recorder();
 
   /// Queues a run to be recorded. Returns false if the queue is full.
-  bool start(RecordStart request);
+  bool recordStart(RecordStart request);
   /// Queues the deletion of a run's record; blocks while the queue is full.
-  void end(RecordEnd request);
+  void recordEnd(DeleteRecord request);
   void stop();
 
   /// Reads the runs that earlier leaders recorded and that have not ended.
   utils::Result<std::vector<scheduler::AdoptedRun>> loadUnendedRuns();
 
 private:
-  using Request = std::variant<RecordStart, RecordEnd>;
+  using Request = std::variant<RecordStart, DeleteRecord>;
   /// Conflict: a condition was not met. Unknown: the store call failed, so the
   /// write may have taken effect, or no call was made because the store counts
   /// as down.
@@ -96,7 +96,7 @@
   const OnOutcome DeliverOutcome;
   const OnStoreError ReportError;
   utils::BoundedQueue<Request> Requests;
-  std::deque<RecordEnd> PendingEnds;
+  std::deque<DeleteRecord> PendingEnds;
   /// After a failed write no other is attempted before this time.
   absl::Time StoreDownUntil = absl::InfinitePast();
   absl::Notification StopRequested;
--- a/src/libs/jobs/fleet.cpp
+++ b/src/libs/jobs/fleet.cpp
@@ -89,8 +89,8 @@
          now >= worker.QuarantinedUntil;
 }
 
-bool Fleet::recordEnd(const WorkerIncarnation &incarnation, bool ok,
-                      absl::Time now) {
+bool Fleet::recordRunOutcome(const WorkerIncarnation &incarnation, bool ok,
+                             absl::Time now) {
   WorkerView *worker = find(incarnation);
   if (worker == nullptr)
     return false;
--- a/src/libs/jobs/fleet.h
+++ b/src/libs/jobs/fleet.h
@@ -23,9 +23,9 @@
   /// Time after the last grant for a worker by which its tasks have certainly
   /// ended.
   absl::Duration LostAfter = absl::Milliseconds(6000);
-  /// Number of consecutive failures, as counted by Fleet::recordEnd(), before a
-  /// worker is quarantined. Usually they are of different tasks, because a
-  /// failed task avoids the worker while others could hold it.
+  /// Number of consecutive failures, as counted by Fleet::recordRunOutcome(),
+  /// before a worker is quarantined. Usually they are of different tasks,
+  /// because a failed task avoids the worker while others could hold it.
   int FailuresBeforeQuarantine = 2;
   /// Duration of the first quarantine; doubles with each further one up to
   /// MaxQuarantine.
@@ -58,7 +58,7 @@
   std::map<int64_t, bool> RunEnds;
   /// All ends up to this number have been recorded.
   int64_t SeenUpto = 0;
-  /// Failures since the last completed run; see Fleet::recordEnd().
+  /// Failures since the last completed run; see Fleet::recordRunOutcome().
   int ConsecutiveFailures = 0;
   int CompletedRuns = 0;
   /// Duration of the latest quarantine; zero after a completed run.
@@ -112,7 +112,8 @@
   /// Counts the end of a run, to quarantine workers that fail the tasks started
   /// on them. With ok false, the run failed or the unhealthy worker did not
   /// start it. Returns true if the worker is quarantined from now on.
-  bool recordEnd(const WorkerIncarnation &incarnation, bool ok, absl::Time now);
+  bool recordRunOutcome(const WorkerIncarnation &incarnation, bool ok,
+                        absl::Time now);
 
   void allocate(const WorkerIncarnation &incarnation, const RunId &run,
                 const core::Resources &resources);
--- a/src/libs/jobs/jobscheduler.cpp
+++ b/src/libs/jobs/jobscheduler.cpp
@@ -257,7 +257,7 @@
   task.StartObserved = false;
   task.ListedByWorker = false;
   task.CountCrashIfAbsent = false;
-  task.MayStartUntil = absl::InfinitePast();
+  task.LateStartPossibleUntil = absl::InfinitePast();
   task.SpeedCompared = false;
   if (job.State == JobState::Queued)
     job.State = JobState::Running;
@@ -303,7 +303,7 @@
   });
 }
 
-void JobScheduler::onPreviousLeadersGone(absl::Time endTime) {
+void JobScheduler::onPreviousLeadersEnded(absl::Time endTime) {
   UnreportedLostAt =
       std::min(UnreportedLostAt, endTime + Policy.Fleet.LostAfter);
 }
@@ -375,7 +375,7 @@
   return std::exchange(EndingJobs, {});
 }
 
-size_t JobScheduler::activeJobs() const {
+size_t JobScheduler::unfinishedJobCount() const {
   return static_cast<size_t>(
       std::count_if(Jobs.begin(), Jobs.end(),
                     [](const auto &j) { return !j.second.hasEnded(); }));
--- a/src/libs/jobs/jobscheduler.h
+++ b/src/libs/jobs/jobscheduler.h
@@ -52,12 +52,12 @@
   /// the urgent jobs that arrive within StopDuration are expected to request.
   double Headroom = 1;
   /// Number of waiting gangs, or other large units, that capacity is reserved
-  /// for at the same time because nothing is stopped for them: MinReservedGangs
-  /// or, on a large site, one for every WorkersPerReservedGang workers,
+  /// for at the same time because nothing is stopped for them: MinReservations
+  /// or, on a large site, one for every WorkersPerReservation workers,
   /// whichever is more. With one reservation the next large gang would starve;
   /// with many the site would stand idle.
-  int MinReservedGangs = 2;
-  int WorkersPerReservedGang = 24;
+  int MinReservations = 2;
+  int WorkersPerReservation = 24;
   /// Expected time from the request to stop a run to its end.
   absl::Duration StopDuration = absl::Milliseconds(400);
   /// Time after submission by which a job within its organisation's guarantee
@@ -185,7 +185,7 @@
   void onWriteFailed(const std::string &jobId);
 
   /// No previous leader has kept tasks alive since endTime.
-  void onPreviousLeadersGone(absl::Time endTime);
+  void onPreviousLeadersEnded(absl::Time endTime);
 
   /// Repeats orders without an answer, detects lost workers, stalled or slow
   /// runs and due occurrences. Must be called a few times a second.
@@ -207,7 +207,7 @@
   /// Number of scheduling passes so far.
   int64_t passCount() const { return PassCount; }
   /// Number of jobs that have not ended, waiting jobs included.
-  size_t activeJobs() const;
+  size_t unfinishedJobCount() const;
   int64_t epoch() const { return Epoch; }
   const Fleet &fleet() const { return Workers; }
   /// The job's current progress, recorded or not, for tests.
@@ -241,7 +241,7 @@
     bool ListedByWorker = false;
     /// The start was sent to a worker incarnation that has ended. Until this
     /// time the next incarnation with the same id may still carry it out.
-    absl::Time MayStartUntil = absl::InfinitePast();
+    absl::Time LateStartPossibleUntil = absl::InfinitePast();
     /// The run had just started, or may have, when its worker crashed. If no
     /// incarnation turns out to have it, the crash counts against the task.
     bool CountCrashIfAbsent = false;
--- a/src/libs/jobs/jobscheduler_incarnations.cpp
+++ b/src/libs/jobs/jobscheduler_incarnations.cpp
@@ -21,7 +21,7 @@
     return false;
   if (!next->empty() && next->Id != end.Life.Id)
     return false;
-  if (now < task.MayStartUntil)
+  if (now < task.LateStartPossibleUntil)
     return true;
   // Workers that do not report their start time do not reuse ids.
   if (end.Life.BornMs == 0 && next->empty())
@@ -44,13 +44,13 @@
                                             Task &task,
                                             const WorkerIncarnation &next,
                                             absl::Time now) {
-  if (task.MayStartUntil == absl::InfinitePast())
-    task.MayStartUntil = now + endpoints::MaxOrderDelay;
+  if (task.LateStartPossibleUntil == absl::InfinitePast())
+    task.LateStartPossibleUntil = now + endpoints::MaxOrderDelay;
   const WorkerIncarnation previous = task.Progress.Worker;
   task.Progress.Worker = next.empty() ? previous.withoutStartTime() : next;
   if (next.empty())
-    UnreportedIncarnations[task.Progress.Worker] = {task.Progress.Agent,
-                                                    task.MayStartUntil};
+    UnreportedIncarnations[task.Progress.Worker] = {
+        task.Progress.Agent, task.LateStartPossibleUntil};
   else
     Workers.allocate(next, {core::taskName(id), task.Progress.Run},
                      job.specOf(id).taskResources());
--- a/src/libs/jobs/jobscheduler_reports.cpp
+++ b/src/libs/jobs/jobscheduler_reports.cpp
@@ -310,7 +310,7 @@
   if (how == RunEnd::Failed)
     task.FailedOn.insert(incarnation);
   if ((how == RunEnd::Done || how == RunEnd::Failed) &&
-      Workers.recordEnd(incarnation, how == RunEnd::Done, now))
+      Workers.recordRunOutcome(incarnation, how == RunEnd::Done, now))
     logDecision(Decision::Kind::WorkerQuarantined, id.Job, core::taskName(id),
                 task.Progress.Run, incarnation.Id, "failed runs in a row");
   if (spec.Gang) {
@@ -410,7 +410,7 @@
     // it from the store.
     return;
   case OrderOutcome::Busy:
-    if (Workers.recordEnd(incarnation, false, now))
+    if (Workers.recordRunOutcome(incarnation, false, now))
       logDecision(Decision::Kind::WorkerQuarantined, id.Job, result.Task,
                   result.Run, incarnation.Id, "refuses starts");
     task->FailedOn.insert(incarnation);
--- a/src/libs/jobs/planner_capacity.cpp
+++ b/src/libs/jobs/planner_capacity.cpp
@@ -521,9 +521,9 @@
 // Maximum number of units that reserveEarliestCapacity() reserves capacity for
 // in one pass. Reservations of secureCapacity() do not count.
 int Planner::maxReservations() const {
-  return std::max(Scheduler.Policy.MinReservedGangs,
+  return std::max(Scheduler.Policy.MinReservations,
                   static_cast<int>(Candidates.size()) /
-                      Scheduler.Policy.WorkersPerReservedGang);
+                      Scheduler.Policy.WorkersPerReservation);
 }
 
 // Reserves the capacity that becomes free first for a large unit, so that
--- a/src/libs/losses/attribution.cpp
+++ b/src/libs/losses/attribution.cpp
@@ -301,13 +301,13 @@
 
   Cause waitCause(int step) const {
     if (step < 0)
-      return Cause::WaitingForRoom;
+      return Cause::WaitingForCapacity;
     const auto s = static_cast<size_t>(step);
     if (s < Job.Waves.size() && Job.Waves[s] > 1)
       return Cause::OwnWaves;
     if (flagOf(Job.SameRack, step))
       return Cause::WaitingForRack;
-    return Cause::WaitingForRoom;
+    return Cause::WaitingForCapacity;
   }
 
   // Attributes the time between from and the cursor to cause, except for the
@@ -375,12 +375,12 @@
 
 const std::vector<Cause> &allCauses() {
   static const std::vector<Cause> all = {
-      Cause::Accepting,      Cause::StoreOutage,     Cause::LeaderChange,
-      Cause::WaitingForRoom, Cause::WaitingForStops, Cause::WaitingForRack,
-      Cause::OwnWaves,       Cause::Starting,        Cause::Working,
-      Cause::SlowWorker,     Cause::RunFailed,       Cause::RunLost,
-      Cause::RunStoodStill,  Cause::RunStopped,      Cause::RunEvacuated,
-      Cause::RunBroken,      Cause::Showing};
+      Cause::Accepting,          Cause::StoreOutage,     Cause::LeaderChange,
+      Cause::WaitingForCapacity, Cause::WaitingForStops, Cause::WaitingForRack,
+      Cause::OwnWaves,           Cause::Starting,        Cause::Working,
+      Cause::SlowWorker,         Cause::RunFailed,       Cause::RunLost,
+      Cause::RunStoodStill,      Cause::RunStopped,      Cause::RunEvacuated,
+      Cause::RunBroken,          Cause::Showing};
   return all;
 }
 
@@ -392,7 +392,7 @@
     return "store_outage";
   case Cause::LeaderChange:
     return "leader_change";
-  case Cause::WaitingForRoom:
+  case Cause::WaitingForCapacity:
     return "waiting_for_room";
   case Cause::WaitingForStops:
     return "waiting_for_stops";
--- a/src/libs/losses/attribution.h
+++ b/src/libs/losses/attribution.h
@@ -17,7 +17,7 @@
   LeaderChange,
   /// Waiting for capacity that other work occupied, without any work being
   /// stopped for the job.
-  WaitingForRoom,
+  WaitingForCapacity,
   /// Waiting while other work was being stopped for the job.
   WaitingForStops,
   /// Waiting of a gang that needs one rack.
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -302,8 +302,8 @@
   return Workers.count(workerId) != 0;
 }
 
-std::set<std::string> ClusterState::drainTarget(const core::Shape &shape,
-                                                absl::Time now) const {
+std::set<std::string> ClusterState::workersToKeepFree(const core::Shape &shape,
+                                                      absl::Time now) const {
   struct Group {
     int Capacity = 0;
     int Free = 0;
--- a/src/libs/placement/clusterstate.h
+++ b/src/libs/placement/clusterstate.h
@@ -155,8 +155,8 @@
   /// can be placed: those of the rack (else of the failure domain) with the
   /// most free accelerators among those that could hold the gang when empty.
   /// Empty if no group of workers could.
-  std::set<std::string> drainTarget(const core::Shape &shape,
-                                    absl::Time now) const;
+  std::set<std::string> workersToKeepFree(const core::Shape &shape,
+                                          absl::Time now) const;
 
   std::vector<FreeWorker>
   freeWorkers(absl::Time now = absl::InfiniteFuture()) const;
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -199,7 +199,7 @@
 
 void GangScheduler::releaseRun(const RunId &run) {
   auto it = Runs.find(run);
-  Actions.push_back(ForgetRun{run, it->second.Gang.Request});
+  Actions.push_back(DeleteRunRecord{run, it->second.Gang.Request});
   Runs.erase(it);
   for (const RunId &ready : State.release(run))
     startRun(ready);
@@ -522,10 +522,10 @@
     }
     // Workers are kept free for at most one gang at a time.
     if (gang.DrainedWorkers.empty() && drainedWorkers.empty() &&
-        now - gang.WaitingSince >= Limits.StarveAfter &&
+        now - gang.WaitingSince >= Limits.DrainWorkersAfter &&
         refusal->Reason == NotRunReason::NoCapacity &&
         job.GangShape.accelerators() > 1) {
-      gang.DrainedWorkers = State.drainTarget(job.GangShape, now);
+      gang.DrainedWorkers = State.workersToKeepFree(job.GangShape, now);
       drainedWorkers = gang.DrainedWorkers;
     }
     // If no other worker is left, retry the workers that refused or failed the
--- a/src/libs/scheduler/gangscheduler.h
+++ b/src/libs/scheduler/gangscheduler.h
@@ -29,7 +29,7 @@
       [](const core::JobRequest &) { return absl::Seconds(2); };
   /// Waiting time after which other work is kept off the workers that are
   /// closest to having enough free capacity for the gang.
-  absl::Duration StarveAfter = absl::Milliseconds(500);
+  absl::Duration DrainWorkersAfter = absl::Milliseconds(500);
   /// Delay after which a refused caller is asked to try again.
   int64_t RetryAfterMs = 1000;
   /// Maximum number of runs of a gang, not counting runs that were stopped for
@@ -69,7 +69,7 @@
   bool Orphan = false;
 };
 /// Action: delete the record of a run that has ended or will not start.
-struct ForgetRun {
+struct DeleteRunRecord {
   RunId Run;
   GangRequest Request;
 };
@@ -81,7 +81,7 @@
   std::string Why;
 };
 using Action =
-    std::variant<StartGang, StopGang, AnswerCaller, ForgetRun, LogReason>;
+    std::variant<StartGang, StopGang, AnswerCaller, DeleteRunRecord, LogReason>;
 
 /// A run that was recorded by an earlier leader and is adopted by this one.
 struct AdoptedRun {
--- a/tests/auto/scheduler/tst_gangscheduler.cpp
+++ b/tests/auto/scheduler/tst_gangscheduler.cpp
@@ -191,7 +191,7 @@
           << "answered \"not run\" although the gang ran";
     }
   }
-  void carryOut(const scheduler::ForgetRun &) {}
+  void carryOut(const scheduler::DeleteRunRecord &) {}
   void carryOut(const scheduler::LogReason &) {}
 
   void checkInvariants() {
--- a/tests/bench/jobsbench/main.cpp
+++ b/tests/bench/jobsbench/main.cpp
@@ -75,7 +75,7 @@
        [](P &p) { p.Headroom = 2; }},
       {"few_kept",
        "capacity is reserved for two waiting gangs at any site size",
-       [](P &p) { p.WorkersPerReservedGang = 1 << 20; }},
+       [](P &p) { p.WorkersPerReservation = 1 << 20; }},
       {"one_failure", "one failed run quarantines a worker",
        [](P &p) { p.Fleet.FailuresBeforeQuarantine = 1; }},
       {"little_waste", "little work may be discarded for urgent work",
