--- a/tests/auto/agent/tst_starttracker.cpp
+++ b/tests/auto/agent/tst_starttracker.cpp
@@ -26,7 +26,7 @@
   const char *Name;
   std::vector<Event> Events;
   /// Whether the start may have crashed the worker.
-  bool JustBegun;
+  bool MayHaveCausedCrash;
   /// Whether the next incarnation may still carry out the start if something
   /// listens at the worker's address, and if nothing does.
   bool MayStillBegin = true;
@@ -76,7 +76,7 @@
 // one that is not attributed to the task that caused it.
 TEST_P(StartBeforeWorkerEnd, IsAPossibleCauseOfTheCrashWhenExpected) {
   EXPECT_EQ(replay().recentlyStartedRuns().size(),
-            GetParam().JustBegun ? 1u : 0u);
+            GetParam().MayHaveCausedCrash ? 1u : 0u);
 }
 
 // Guards against a start that the worker's next incarnation carries out
--- a/tests/auto/agent/tst_tasktable.cpp
+++ b/tests/auto/agent/tst_tasktable.cpp
@@ -18,7 +18,7 @@
   return {1, run, "job", std::move(members), "{}", "", 100};
 }
 
-class Table : public testing::Test {
+class TaskTableTest : public testing::Test {
 protected:
   bool tryStart(const std::string &run, std::vector<int> members) {
     std::vector<Task> out;
@@ -29,7 +29,7 @@
 
 // Guards against a task that runs twice: its start arrives a second time,
 // resent by the transport or by an entry that did not receive the answer.
-TEST_F(Table, SecondStartIsRefused) {
+TEST_F(TaskTableTest, SecondStartIsRefused) {
   EXPECT_EQ(Tasks.reserve(makeReserve("r", {0, 1}, 4), Start), "");
   EXPECT_TRUE(tryStart("r", {0, 1}));
   EXPECT_FALSE(tryStart("r", {0, 1}));
@@ -41,7 +41,7 @@
 // Messages of one run arrive out of order: the release or the stop precedes the
 // reservation or the start. No task of the run may start afterwards, because
 // the leader considers the run ended.
-TEST_F(Table, NoTaskStartsAfterReleaseOrStop) {
+TEST_F(TaskTableTest, NoTaskStartsAfterReleaseOrStop) {
   Tasks.release("late");
   EXPECT_NE(Tasks.reserve(makeReserve("late", {0}, 8), Start), "");
   EXPECT_EQ(Tasks.reserve(makeReserve("stopped", {0, 1}, 4), Start), "");
@@ -54,7 +54,7 @@
 // A stop arrives while one member runs and another is unknown to this agent:
 // the agent has to report the end of the unknown members itself, and of no
 // others.
-TEST_F(Table, StopReturnsMembersThatTheTableDoesNotHold) {
+TEST_F(TaskTableTest, StopReturnsMembersThatTheTableDoesNotHold) {
   ASSERT_EQ(Tasks.reserve(makeReserve("r", {0, 1}, 4), Start), "");
   ASSERT_TRUE(tryStart("r", {0, 1}));
   EXPECT_TRUE(Tasks.beginRun({"r", 0}));
@@ -66,7 +66,7 @@
 
 // Guards against accelerators that stay reserved for ever because the entry
 // failed between the reservation and the start.
-TEST_F(Table, ReservationWithoutAStartExpires) {
+TEST_F(TaskTableTest, ReservationWithoutAStartExpires) {
   ASSERT_EQ(Tasks.reserve(makeReserve("r", {0}, 8), Start), "");
   EXPECT_NE(Tasks.reserve(makeReserve("s", {0}, 1), Start), "");
   EXPECT_TRUE(Tasks.dropExpired(Start + absl::Seconds(9)).empty());
--- a/tests/auto/agent/tst_workeragent.cpp
+++ b/tests/auto/agent/tst_workeragent.cpp
@@ -219,8 +219,9 @@
                      {"life", 1}, true, {{"j.0.0.0", 1}}, true, {}}));
 }
 
-// Guards against a worker's next incarnation under the same id that drops
-// unreported ends, because it numbers its ends from one again.
+// Guards against ends that the worker's next incarnation under the same id
+// drops before they are reported: it numbers its ends from one again, while the
+// agent still acknowledges the numbers of the previous incarnation.
 TEST(WorkerAgent, EndsAreAcknowledgedOnlyWhileTheWorkerListsSome) {
   AgentFixture fixture;
   for (int64_t n = 1; n <= 5; ++n)
--- a/tests/auto/cluster/memorystore.h
+++ b/tests/auto/cluster/memorystore.h
@@ -12,9 +12,9 @@
 namespace oriolebay::cluster {
 
 /// The platform's store in memory, on the loop's time, with revisions, leases,
-/// watches and the store's failure modes. Faults are set for each client by
-/// itself. Leases always expire while their client cannot reach the store, as
-/// nobody renews them.
+/// watches and the store's failure modes. Faults are set for each client
+/// separately. Leases always expire while their client cannot reach the store,
+/// as nobody renews them.
 class MemoryStore {
 public:
   MemoryStore(utils::EventLoop &loop, uint64_t seed);
@@ -23,7 +23,7 @@
   struct Faults {
     /// Calls are refused at once and not carried out.
     bool Refuses = false;
-    /// Calls get no answer and are not carried out.
+    /// Calls get no answer. Calls that arrive meanwhile are not carried out.
     bool Silent = false;
     /// Share of transactions that are carried out but not answered.
     double LostAnswerShare = 0;
@@ -33,6 +33,8 @@
     /// Watches report no changes; they return empty when their wait time is
     /// over.
     bool WatchesSilent = false;
+    /// Time that a transaction takes, with half of it in each direction. Reads
+    /// are carried out at once and answered after half of it.
     absl::Duration Delay = absl::Milliseconds(4);
   };
 
@@ -70,8 +72,8 @@
   template <class T>
   void answer(const std::string &client, platform::OnStoreReply<T> done,
               platform::StoreReply<T> reply);
-  /// Returns false if the call is lost or refused; done is then called by this
-  /// function.
+  /// Counts the call and applies the client's faults to it. Returns false if
+  /// the call is lost or refused; done is then called by this function.
   template <class T>
   bool admitCall(const std::string &client,
                  const platform::OnStoreReply<T> &done,
--- a/tests/auto/cluster/memoryworker.cpp
+++ b/tests/auto/cluster/memoryworker.cpp
@@ -37,7 +37,8 @@
   Loop.runAfter(StepInterval, [this] { step(); });
 }
 
-// Uses the time of day, which may step back between two incarnations.
+// The start time is given in time of day, which may step back between two
+// incarnations: it is off by up to 5 s either way.
 int64_t MemoryWorker::randomStartTimeMs() {
   const int64_t stepMs = std::uniform_int_distribution<>(-5000, 5000)(Random);
   return absl::ToUnixMillis(IncarnationStart) + 1000000 + stepMs;
@@ -84,6 +85,8 @@
   State.Capacity = capacity;
 }
 
+// Returns the largest amount of each resource that the worker has had within
+// CapacityReductionDelay.
 core::Resources MemoryWorker::enforcedCapacity() const {
   core::Resources most = State.Capacity;
   for (const auto &[until, capacity] : PreviousCapacities)
@@ -98,6 +101,7 @@
   std::vector<PendingPoll> pending = std::exchange(PendingPolls, {});
   crash(id);
   ListensFrom = Loop.now() + downtime;
+  // The connections of open polls are closed, so the polls fail at once.
   for (PendingPoll &poll : pending)
     Loop.runAfter(AnswerDelay, [done = poll.Done] { done({}); });
 }
@@ -312,6 +316,7 @@
       remaining.push_back(std::move(poll));
       continue;
     }
+    // The lease was extended when the call arrived.
     endpoints::KeepAliveCall pollOnly = poll.Call;
     pollOnly.UntilMs = 0;
     poll.Done(keepAlive(pollOnly));
--- a/tests/auto/cluster/tst_cluster.cpp
+++ b/tests/auto/cluster/tst_cluster.cpp
@@ -81,7 +81,9 @@
   }
 }
 
-// The same where the call arrives before the report of the end.
+// Guards against the answer "running" to callers whose query arrives after the
+// end of the job's last task, but before the leader has received the report of
+// the end.
 TEST(Cluster, StateQueriedBeforeTheEndIsReportedIsCompleted) {
   auto cluster = servingCluster();
   cluster->submit(0, "k1", job("j", 1, 1, 1000));
@@ -334,7 +336,8 @@
     MemoryCluster::Options options{Entries, 3, 3, seed};
     options.FirstSmallEntry = Large;
     auto cluster = servingCluster(options);
-    // Their renewals come at different times.
+    // Staggered restarts make the small entries renew their leases at different
+    // times.
     for (int n = Large; n < Entries; ++n) {
       cluster->killEntry(n);
       cluster->runFor(absl::Milliseconds(61 * static_cast<int>(seed)));
@@ -385,7 +388,8 @@
 }
 
 // For an entry that reaches neither the store nor another entry: only the first
-// caller may wait until that is detected, later ones are refused at once.
+// caller may wait until that is detected, later ones are refused at once. Calls
+// are served again once the entry reaches the other entries.
 TEST(Cluster, IsolatedEntryRefusesAtOnce) {
   auto cluster = servingCluster();
   const int isolated = (cluster->leader() + 1) % 3;
@@ -445,7 +449,7 @@
   cluster->runFor(absl::Seconds(30));
   EXPECT_EQ(cluster->store().writes(), idleWrites);
   // Three entries: a lease renewed twice a second, a configuration confirmed
-  // every 0.6 s, four watches every 5 s. Agents make none.
+  // every 0.6 s, four watches every 5 s. Agents make no store calls.
   EXPECT_LE(cluster->store().calls() - idleCalls, 30 * 15);
   const int writes = cluster->store().writes();
   constexpr int Jobs = 10;
@@ -463,7 +467,8 @@
   EXPECT_GE(cluster->store().writes() - writes, Jobs * 3);
 }
 
-// A fault that happens while a long job runs and another one is submitted.
+// A fault that happens while a long job runs, shortly before others are
+// submitted.
 struct FaultCase {
   const char *Name;
   std::function<void(MemoryCluster &)> Inject;
--- a/tests/auto/cluster/tst_randomfaults.cpp
+++ b/tests/auto/cluster/tst_randomfaults.cpp
@@ -169,13 +169,14 @@
 constexpr int RegressionSeeds[] = {
     336,  // an agent retried a replaced leader's start under the new token
     449,  // the same, with the next run of the task on the same worker
-    1639, // a lease lapsed between a task's end and its acknowledgement
-          // (allowed)
+    1639, // a lease lapsed between a task's end and its acknowledgement: the
+          // task may run again
 };
 
 // Whatever faults happen, in whatever order: an accepted job ends, no task runs
 // twice or after its end was acknowledged, no worker runs more than its
-// capacity, and a job that was refused is not in the store.
+// capacity, and a job whose submission was answered "not done" is not in the
+// store.
 TEST(RandomFaults, InvariantsHold) {
   const auto [first, last] = seedsToRun();
   std::vector<int> seeds(std::begin(RegressionSeeds),
--- a/tests/auto/cluster/tst_restarts.cpp
+++ b/tests/auto/cluster/tst_restarts.cpp
@@ -126,7 +126,8 @@
   expectAllCompleted(absl::Seconds(30));
 }
 
-// Guards against the same fault where the agent is new as well and knows
+// Guards against a task that runs twice because the next incarnation carries
+// out a start for the previous one while the agent is new as well and knows
 // nothing of the start.
 TEST_P(Restart, DelayedStartIsResolvedByANewAgent) {
   submitWithLateStarts();
@@ -141,7 +142,8 @@
   expectAllCompleted(absl::Seconds(30));
 }
 
-// Guards against the same fault where the leader is new.
+// Guards against a task that runs twice because the next incarnation carries
+// out a start for the previous one while the leader changes.
 TEST_P(Restart, DelayedStartIsResolvedByTheNextLeader) {
   submitWithLateStarts();
   for (int n = 0; n < Workers; ++n)
--- a/tests/auto/jobs/simsite.h
+++ b/tests/auto/jobs/simsite.h
@@ -46,7 +46,7 @@
     double Slowness = 1;
     /// Every run fails shortly after its start.
     bool FailsAll = false;
-    /// Runs make no progress and never end.
+    /// Runs make no progress. They end only when they are stopped.
     bool Hangs = false;
     /// No message reaches the agent or is sent by it.
     bool Partitioned = false;
@@ -101,8 +101,8 @@
   std::optional<absl::Duration> turnaroundTime(const std::string &jobId) const;
   /// The workers on which tasks of a job run now, one item a task.
   std::multiset<std::string> workersOf(const std::string &jobId) const;
-  /// Core-seconds of work that was discarded by stops or lost with workers. An
-  /// accelerator counts as eight cores.
+  /// Core-seconds of work in runs that did not complete, as far as no
+  /// checkpoint saved it. An accelerator counts as eight cores.
   double lostWork() const { return LostWork; }
   int starts() const { return Starts; }
   /// Number of worker crashes that the task has caused.
@@ -166,8 +166,11 @@
   };
 
   static GangKey gangKey(const core::TaskId &id, int64_t run);
+  /// Determines again which members of each gang run, and in which racks.
   void updateGangs();
   void step();
+  /// Lets the scheduler decide and passes on its writes, its orders and their
+  /// results, until it has no more orders.
   void exchangeMessages();
   void advanceRuns(Worker &worker);
   void shutDown(const std::string &incarnation);
@@ -176,10 +179,12 @@
   absl::Duration savedWork(const Run &run, const core::TaskId &id,
                            bool byStop) const;
   std::string runningCheckpoint(const Run &run, const core::TaskId &id) const;
+  /// Ends a run and, if it belongs to a gang, the runs of all other members.
   void endRun(Worker &worker, const RunId &run, endpoints::RunEnd how);
   void sendReport(Worker &worker);
   void executeOrders(Worker &worker, const endpoints::WorkerOrders &orders);
   void checkCapacity(const Worker &worker);
+  /// Records a violation if the task is done or another run of it exists.
   void checkTaskRunsOnce(const endpoints::StartOrder &order);
   bool isGangComplete(const core::TaskId &id, int64_t run) const;
   bool isGangAcrossRacks(const core::TaskId &id, int64_t run) const;
--- a/tests/auto/jobs/tst_crashes.cpp
+++ b/tests/auto/jobs/tst_crashes.cpp
@@ -115,9 +115,9 @@
   expectNoViolations(site);
 }
 
-// Guards against a second crash that leaves the cause open again: tasks that
-// may have crashed a worker are started apart from other tasks that have just
-// started.
+// Guards against a second crash whose cause is as uncertain as that of the
+// first: tasks that may have crashed a worker are started on other workers than
+// tasks that have just started.
 TEST(CrashingTask, SuspectTasksRunOnSeparateWorkers) {
   CrashSite site(4);
   site.submit(jobOf("bad", step(1, 1, 2000)));
--- a/tests/auto/jobs/tst_jobscheduler.cpp
+++ b/tests/auto/jobs/tst_jobscheduler.cpp
@@ -46,10 +46,12 @@
   EXPECT_TRUE(site.violations().empty()) << site.violations().front();
 }
 
-// Guards against a gang that runs twice: all hosts lose power right after the
-// first end of a gang was reported, while the store is down. The leader
-// acknowledged the other members' ends at once, as the first end had completed
-// them in memory, and the workers dropped ends that no record held.
+// Guards against a gang that runs twice after all hosts have lost power, right
+// after the first end of the gang was reported while the store was down. The
+// leader acknowledged the other members' ends at once, as the first end had
+// completed them in memory, and the workers dropped ends that no record held.
+// Here the workers must keep the ends, from which the next leader completes the
+// gang.
 TEST(JobScheduler, AcknowledgesNoEndBeforeItIsRecorded) {
   SimSite site;
   addRacks(site, 1);
@@ -223,8 +225,9 @@
   EXPECT_EQ(site.scheduler().passCount(), before);
 }
 
-// The same with a job that waits. It may become startable through time alone,
-// so there is a scheduling pass on each tick, but not on each report.
+// Guards against a scheduling pass after each report while a job waits on a
+// full site. The job may become startable through time alone, so each tick runs
+// a pass, but a report that frees no capacity runs none.
 TEST(JobScheduler, WaitingJobIsScheduledOnTicksOnly) {
   SimSite site;
   addRacks(site, 1);
@@ -432,8 +435,8 @@
 }
 
 /// Work that fills a site of one rack when an urgent job arrives, and which of
-/// it may be stopped. On both users' sites urgent jobs come in waves of twice
-/// their usual number while other work fills the workers. Up to 2,900
+/// it has to be stopped. On both users' sites urgent jobs come in waves of
+/// twice their usual number while other work fills the workers. Up to 2,900
 /// core-seconds of work a day were discarded for them, a third of the value of
 /// such a day.
 struct StopCase {
@@ -443,7 +446,7 @@
   std::vector<int> Priorities;
   absl::Duration Age;
   core::StepSpec Urgent;
-  /// The jobs of FillerSteps that are stopped for the urgent job.
+  /// The jobs of FillerSteps that have to be stopped for the urgent job.
   std::set<std::string> Stopped;
 };
 
@@ -766,8 +769,9 @@
   }
 }
 
-// The same for a task without peers in its step: the times that earlier tasks
-// of its queue took show that it is too slow.
+// Guards against a run that stays on a slow worker because its task has no
+// peers in its step to compare with. The times that earlier tasks of its queue
+// took show that it is too slow.
 TEST(JobScheduler, RestartsSingleTooSlowRunElsewhere) {
   SimSite site;
   addRacks(site, 2);
--- a/tests/auto/losses/tst_losses.cpp
+++ b/tests/auto/losses/tst_losses.cpp
@@ -276,12 +276,13 @@
       submitEvent(3000, "j", "ok", 0) + deadlineEvent(3000, "j") +
       runEvent(3000, "stopping", "b.0.0.0", 1, "makes room for job j") +
       runEvent(3000, "ended", "b.0.0.0", 1, "stopped"));
-  const std::vector<DiscardedWork> waste = discardedWorkOf(site.Jobs.at("b"));
-  ASSERT_EQ(waste.size(), 1u);
-  EXPECT_EQ(waste[0].ForJob, "j");
+  const std::vector<DiscardedWork> discardedWork =
+      discardedWorkOf(site.Jobs.at("b"));
+  ASSERT_EQ(discardedWork.size(), 1u);
+  EXPECT_EQ(discardedWork[0].ForJob, "j");
   // Two cores and one accelerator, which counts as eight cores, for two
   // seconds.
-  EXPECT_DOUBLE_EQ(waste[0].CoreSeconds, 20);
+  EXPECT_DOUBLE_EQ(discardedWork[0].CoreSeconds, 20);
   const Losses losses = lossesOf(site);
   EXPECT_EQ(
       losses.DiscardedWorkByReason,
--- a/tests/auto/platform/tst_platform.cpp
+++ b/tests/auto/platform/tst_platform.cpp
@@ -15,7 +15,8 @@
 
 constexpr long CallTimeoutMs = 300;
 
-// Runs only the store stand-in.
+// Starts the stand-ins without entries and agents; the tests use only the store
+// stand-in.
 class Store : public testing::Test {
 protected:
   void SetUp() override {
--- a/tests/auto/scheduler/tst_gangscheduler.cpp
+++ b/tests/auto/scheduler/tst_gangscheduler.cpp
@@ -231,14 +231,14 @@
   placement::Placer Placer;
 };
 
-class RandomDays : public testing::TestWithParam<RandomCase> {};
+class RandomEvents : public testing::TestWithParam<RandomCase> {};
 
 // Random submissions, ends, failures, lost and returning workers and profile
 // changes, with both placers. After every step: no worker runs more than its
 // accelerators allow, no gang runs partially or twice, the power cap is kept,
 // every caller is answered at most once, and a job that was answered "not run"
 // has not run. While all workers are up, every guarantee can be reclaimed.
-TEST_P(RandomDays, InvariantsHoldAfterEveryStep) {
+TEST_P(RandomEvents, InvariantsHoldAfterEveryStep) {
   std::mt19937 generator(GetParam().Seed);
   auto randomInt = [&](int lo, int hi) {
     return std::uniform_int_distribution<int>(lo, hi)(generator);
@@ -296,7 +296,7 @@
 // Random gangs of a guest fill the site. Then each guaranteed organisation
 // submits one urgent gang of the shape and size of its whole guarantee: all of
 // these gangs must run once the preempted gangs have stopped.
-TEST_P(RandomDays, EveryGuaranteeIsReclaimedFromAFullSite) {
+TEST_P(RandomEvents, EveryGuaranteeIsReclaimedFromAFullSite) {
   std::mt19937 generator(GetParam().Seed + 1000);
   auto randomInt = [&](int lo, int hi) {
     return std::uniform_int_distribution<int>(lo, hi)(generator);
@@ -323,7 +323,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    BothPlacers, RandomDays,
+    BothPlacers, RandomEvents,
     testing::Values(RandomCase{"packed_1", 1, placement::placePacked},
                     RandomCase{"packed_2", 2, placement::placePacked},
                     RandomCase{"packed_3", 3, placement::placePacked},
--- a/tests/auto/settings/tst_nodesettings.cpp
+++ b/tests/auto/settings/tst_nodesettings.cpp
@@ -126,8 +126,9 @@
   // on the same tasks.
   EXPECT_LT(t.LeaderLease, absl::Milliseconds(siteBounds.LeaseMs));
   // A view of the configuration that serves calls is confirmed again before it
-  // is too old, also if one answer is lost. A view that is too old is no longer
-  // used well before a revoked key has to be rejected.
+  // is too old, also if one answer is lost. Views that are too old are
+  // discarded in half of the time within which a revoked key has to be
+  // rejected.
   EXPECT_LE(2 * t.ConfirmInterval, t.MaxConfigAge);
   EXPECT_LE(t.MaxConfigAge, absl::Milliseconds(siteBounds.RevokeMs) / 2);
   EXPECT_LE(t.ConfirmInterval * 3,
--- a/tests/auto/system/tst_failures.cpp
+++ b/tests/auto/system/tst_failures.cpp
@@ -309,7 +309,7 @@
 // Many jobs are cancelled through the entry that does not lead: first the
 // waiting ones, which must be answered "not run" and must not have run, then
 // the running ones, which must be stopped. Every caller must get an answer, and
-// the capacity must be free afterwards.
+// no task may run afterwards, so that the capacity is free.
 TEST_F(Entries, MassCancellationAnswersEveryCaller) {
   const int leaderIndex = leader();
   const auto name = [](int i) { return "wave" + std::to_string(i); };
@@ -370,9 +370,10 @@
     EXPECT_FALSE(job.get().Detail.empty());
 }
 
-// An accepted profile must take effect at every entry and at the agents,
-// without a call of any agent to the store. After an outage of the store no
-// process may return to an older version.
+// An accepted profile must take effect at every entry, and after an outage of
+// the store no entry may return to an older version. Agents get the profile
+// from the entries, without a call to the store; this test does not check the
+// agents.
 TEST_F(Entries, AcceptedProfileStaysInForceAfterAStoreOutage) {
   const int64_t before = stats().value("profile_version", 0);
   json profile = Profile;
--- a/tests/auto/testnames.h
+++ b/tests/auto/testnames.h
@@ -11,9 +11,9 @@
 
 /// Turns the description of a test case into a name that gtest accepts: letters
 /// and digits are kept, everything else becomes an underscore.
-inline std::string testNameFrom(const std::string &story) {
+inline std::string testNameFrom(const std::string &description) {
   std::string out;
-  for (char ch : story)
+  for (char ch : description)
     out += std::isalnum(static_cast<unsigned char>(ch)) != 0 ? ch : '_';
   return out;
 }
