--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Installs every library and tool the build and the tests need, from Debian.
-# README and .ci/run both call this script, so a fresh machine and CI get the same set.
+# Installs all libraries and tools that the build and the tests need, from
+# Debian. README and .ci/run both use this script, so that a new machine and CI
+# have the same packages.
 set -euo pipefail
 export DEBIAN_FRONTEND=noninteractive
 SUDO=""
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# clang-format must find nothing to change; clang-tidy must find nothing in
-# our sources (the build's compile_commands.json tells it the flags).
+# Checks that clang-format has nothing to change and that clang-tidy reports
+# nothing for src/ and platform/, with the compiler flags from the build's
+# compile_commands.json.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 files=$(git ls-files '*.cpp' '*.h')
--- a/scripts/run-example.sh
+++ b/scripts/run-example.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Installs, builds and runs the main job: the store stand-in, one entry and
-# one agent per worker on loopback, with the site's workload replayed through
-# the packed placer and the first-fit baseline. Prints completion time per
-# class and fragmentation, and writes out/SITE.csv.
+# Installs the dependencies, builds, and replays a site's workload with the
+# packed placer and with the first-fit baseline, on a store stand-in, one entry
+# and one agent per worker on loopback. Prints completion time per class and
+# fragmentation, and writes out/SITE.csv.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 site=${1:-brno}
--- a/scripts/run-experiment.sh
+++ b/scripts/run-experiment.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The placement experiment: a Brno night with small batch jobs, urgent checks
-# and three-worker gangs, through the real placer and the naive one, on the
-# real entry and agents. Writes docs/measurements/contention*.csv and a plot
-# of fragmentation over time.
+# The placement experiment: replays a night's workload of the Brno site (small
+# batch jobs, urgent checks and three-worker gangs) with the packed placer and
+# with the first-fit placer, on the real entry and agents. Writes
+# docs/measurements/contention*.csv and a plot of fragmentation over time.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/install-deps.sh
@@ -22,7 +22,8 @@
 set ylabel 'fragmentation'
 set yrange [0:1]
 series = '$out/contention-fragmentation.csv'
-# The mean of each second: with little free, single samples are near 0 or 1.
+# Plots the mean of each second, because single samples are near 0 or 1 when few
+# accelerators are free.
 plot series using (strcol(1) eq 'packed' ? floor(column(2)/10) : NaN):3 smooth unique with linespoints title 'real', \
      series using (strcol(1) eq 'first_fit' ? floor(column(2)/10) : NaN):3 smooth unique with linespoints title 'naive'
 PLOT
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Installs what the build needs, builds, and runs every test. Just the tests that
-# are the first word of a line in KNOWN-RED.txt are passed over and printed.
+# Installs the build dependencies, builds, and runs all tests. Only the tests
+# named by the first word of a line in KNOWN-RED.txt are skipped; their lines are
+# printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/install-deps.sh
@@ -8,7 +9,7 @@
 cmake --build build -j"$(nproc)"
 exclude=""
 if [ -s KNOWN-RED.txt ]; then
-  echo "Known red, passed over:"
+  echo "Known failing tests, skipped:"
   sed 's/^/  /' KNOWN-RED.txt
   exclude="^($(cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|'))\$"
 fi
--- a/src/app/agent/jobscommand.cpp
+++ b/src/app/agent/jobscommand.cpp
@@ -65,6 +65,7 @@
   }
 
 private:
+  // Updates the gauges before the metrics are read.
   void refresh(metrics::ProcessMetrics &m) const {
     const AgentStatus s = Agent.status();
     m.set("worker_reachable", "1 while the worker beside it answers.",
--- a/src/app/entry/jobscommand.cpp
+++ b/src/app/entry/jobscommand.cpp
@@ -69,7 +69,7 @@
       Metrics.recordCall(d.Call, jobs::callResultName(d.Answer.Result),
                          absl::Milliseconds(d.TookMs));
     };
-    o.Decided = [this](const jobs::Decision &d) { countDecision(d); };
+    o.Decided = [this](const jobs::Decision &d) { recordDecision(d); };
     o.StoreCalled = [this](const char *call, platform::StoreStatus status,
                            absl::Duration duration) {
       Metrics.recordStoreCall(call, platform::storeStatusName(status),
@@ -78,7 +78,7 @@
     return o;
   }
 
-  void countDecision(const jobs::Decision &d) {
+  void recordDecision(const jobs::Decision &d) {
     if (d.What == jobs::Decision::Kind::Placed)
       Metrics.recordRunPlaced(static_cast<int>(d.input("rank")),
                               absl::Milliseconds(d.input("waited_ms")));
@@ -87,6 +87,7 @@
                              absl::Milliseconds(d.input("took_ms")));
   }
 
+  // Updates the gauges before the metrics are read.
   void refresh(metrics::ProcessMetrics &m) const {
     const EntryStatus s = Entry.status();
     m.set("config_version", "Version of the configuration in force here.",
@@ -110,6 +111,8 @@
           Callers.unanswered());
   }
 
+  // Stops the entry; the process exits when it is idle. Further signals have no
+  // effect.
   void stop() {
     if (StopStartedAt != absl::InfinitePast())
       return;
@@ -119,6 +122,8 @@
     exitWhenIdle();
   }
 
+  // Exits when the load balancer has had time to notice the stop and all calls
+  // are answered, but at the latest after MaxShutdownTime.
   void exitWhenIdle() {
     const absl::Duration sinceStop = utils::bootNow() - StopStartedAt;
     const bool idle =
--- a/src/app/entry/logcommands.cpp
+++ b/src/app/entry/logcommands.cpp
@@ -40,7 +40,7 @@
   absl::Time time;
   std::string why;
   if (!absl::ParseTime(absl::RFC3339_full, valueOf(vm, name), &time, &why)) {
-    std::cerr << "oriolebay-entry: --" << name << " is no time: " << why
+    std::cerr << "oriolebay-entry: --" << name << " is not a time: " << why
               << " (remedy: write it as 2026-01-31T23:59:59.5Z)\n";
     return false;
   }
@@ -48,9 +48,9 @@
   return true;
 }
 
-// Prints which parts of the files were not used. Returns false when a file
-// could not be read, because a time line that lacks a process would be
-// misleading.
+// Prints the number of skipped lines and the files that could not be read.
+// Returns false when there are unreadable files, because a time line that lacks
+// a process would be misleading.
 bool reportUnusedInput(const LogContents &read) {
   if (read.SkippedLines > 0)
     std::cerr << read.SkippedLines << " lines were not events\n";
@@ -83,7 +83,7 @@
       "timeline: only this worker")("organisation", po::value<std::string>(),
                                     "timeline: only this organisation")(
       "event", po::value<std::string>(),
-      "timeline: only events whose names begin so, such as run.")(
+      "timeline: only events with this name prefix, such as run.")(
       "svg", po::value<std::string>(),
       "losses: also draw the lost jobs' time to this file")(
       "from", po::value<std::string>(),
--- a/src/app/entry/main.cpp
+++ b/src/app/entry/main.cpp
@@ -109,7 +109,8 @@
       "file", po::value<std::string>(), "profile file (JSON), for profile put")(
       "expect-version", po::value<int64_t>()->default_value(0),
       "the version the profile has now (0: a new profile)")(
-      "args", po::value<std::vector<std::string>>(), "command and its words");
+      "args", po::value<std::vector<std::string>>(),
+      "command and its arguments");
   entry::addLogOptions(opts);
   po::positional_options_description pos;
   pos.add("args", -1);
--- a/src/libs/callers/callerapi.h
+++ b/src/libs/callers/callerapi.h
@@ -12,12 +12,12 @@
 
 namespace oriolebay::callers {
 
-/// HTTP interface for callers. POST /v1/jobs takes a JobRequest in JSON and
-/// answers with that caller's own JobAnswer once the job has ended or the
-/// system has given up on it (then with Retry-After). DELETE
-/// /v1/jobs/ORGANISATION/ID cancels a job; the caller that submitted it is
-/// notified by its answer. GET /v1/stats returns the entry's counters; GET
-/// /healthz returns 200 as long as the process answers calls.
+/// HTTP interface for callers. POST /v1/jobs accepts a JobRequest in JSON and
+/// answers with the JobAnswer for it once the job has ended or the system has
+/// given up on it (then with Retry-After). DELETE /v1/jobs/ORGANISATION/ID
+/// cancels a job; the caller that submitted it is notified by its answer. GET
+/// /v1/stats returns the entry's counters; GET /healthz returns 200 as long as
+/// the process answers calls.
 class CallerApi {
 public:
   using Submit = std::function<core::JobAnswer(const core::JobRequest &)>;
--- a/src/libs/core/jobspec.cpp
+++ b/src/libs/core/jobspec.cpp
@@ -9,13 +9,16 @@
 
 namespace {
 
+/// Returns how many times need fits into available, at most maxCount.
 int64_t countOf(int64_t need, int64_t available, int64_t maxCount) {
-  // Callers mostly ask for one, which needs no division.
+  // Most callers pass a maxCount of 1, which needs no division.
   if (need * maxCount <= available)
     return maxCount;
   return need <= 0 ? maxCount : available / need;
 }
 
+/// Returns why the step with the given number (from 0) is not valid; empty when
+/// it is valid.
 std::string validateStep(const StepSpec &step, int number) {
   const std::string where = "step " + std::to_string(number);
   if (step.Count < 1 || step.Count > MaxTasksPerJob)
--- a/src/libs/core/jobspec.h
+++ b/src/libs/core/jobspec.h
@@ -8,7 +8,7 @@
 
 namespace oriolebay::core {
 
-/// Resources that a task takes or that a worker has: thousandths of a core,
+/// Resources that a task needs or that a worker has: thousandths of a core,
 /// memory in MB, and number of accelerators.
 struct Resources {
   int64_t MilliCores = 0;
@@ -82,8 +82,8 @@
   /// at the same time because the system stopped or moved them.
   int MaxUnavailable = 0;
 
-  /// Returns the resources that a task takes from a worker's capacity. Cores of
-  /// tasks that only use idle cores are not counted.
+  /// Returns the resources by which a task reduces a worker's free capacity.
+  /// Cores of tasks that only use idle cores are not counted.
   Resources taskResources() const {
     Resources r = PerTask;
     if (UsesIdleCores)
@@ -115,7 +115,7 @@
   auto operator<=>(const JobSpec &) const = default;
 };
 
-/// Limits on one job, which keep a single call from filling the system.
+/// Limits on one job, so that a single call cannot overload the system.
 constexpr int MaxStepsPerJob = 64;
 constexpr int MaxTasksPerJob = 4096;
 constexpr size_t MaxPayloadBytes = 4000;
--- a/src/libs/eventlog/eventlog.cpp
+++ b/src/libs/eventlog/eventlog.cpp
@@ -39,8 +39,8 @@
 std::atomic<int64_t> DroppedLines{0};
 
 /// Drops a line when the queue is full, and counts it. Boost.Log's queue calls
-/// its overflow strategy by these names, so that they do not follow the naming
-/// rules of this project.
+/// its overflow strategy by these names, which therefore do not follow the
+/// naming rules of this project.
 struct DropAndCount {
   // NOLINTBEGIN(readability-identifier-naming)
   template <class Record, class Lock>
@@ -61,9 +61,9 @@
 /// event, and reports the number of dropped lines.
 class RateLimiter {
 public:
-  /// Returns whether a line of event may be written now. Sets newlyDropped to
-  /// the number of lines that were dropped since the last report, when a new
-  /// report is due.
+  /// Counts event and returns whether its line may be written now. At the first
+  /// event in a second, sets newlyDropped to the number of lines that were
+  /// dropped since the last report.
   bool admit(Event event, absl::Time now, int64_t &newlyDropped) {
     std::lock_guard<std::mutex> lock(Mu);
     ++EventTotals[event];
@@ -80,6 +80,7 @@
     return false;
   }
 
+  /// Returns the number of events of each kind, including dropped ones.
   std::map<Event, int64_t> totals() {
     std::lock_guard<std::mutex> lock(Mu);
     return EventTotals;
@@ -106,6 +107,7 @@
   return log;
 }
 
+/// Queues one line with the common fields of all events and with fields.
 void write(Log &log, Event event, const nlohmann::json &fields) {
   nlohmann::json line = {
       {"ts_us", absl::ToUnixMicros(utils::wallNow())},
@@ -150,8 +152,8 @@
   return {};
 }
 
-// The reader of standard output may be blocked; the process must end
-// nevertheless.
+// Flushes on a separate thread and waits for it only for FlushTimeout, because
+// the process must end even when the reader of standard output is blocked.
 void closeEventLog() {
   Log *log = instance();
   if (log == nullptr)
--- a/src/libs/eventlog/timeline.cpp
+++ b/src/libs/eventlog/timeline.cpp
@@ -32,10 +32,12 @@
   return text.compare(0, start.size(), start) == 0;
 }
 
-// Events of a process between its start and its end, during which its boot
+// Events of a process between one start and the next, during which its boot
 // clock runs without jumps.
 using ProcessEvents = std::vector<LoggedEvent>;
 
+/// Sets the times of the events to their boot clock times plus the median
+/// offset between the wall clock and the boot clock.
 void alignToBootClock(ProcessEvents &processEvents) {
   std::vector<int64_t> offsets;
   for (const LoggedEvent &e : processEvents)
@@ -51,6 +53,7 @@
       e.AtUs = numberIn(e.Fields, "up_ms") * 1000 + *median;
 }
 
+/// Reads logs and merges the events of all processes in time order.
 class Reader {
 public:
   void read(std::istream &in) {
@@ -86,6 +89,8 @@
     processEvents.push_back({at, std::move(fields)});
   }
 
+  // Aligns the events of a process since its start and moves them to the
+  // result.
   void finishProcess(ProcessEvents &processEvents) {
     alignToBootClock(processEvents);
     std::move(processEvents.begin(), processEvents.end(),
@@ -120,13 +125,14 @@
          startsWith(name, "log.");
 }
 
-/// Passes one failed store call for each process and outage. Each process makes
-/// several calls a second, and their failures contain the same information.
+/// Finds repeated failures of store calls, so that only one is passed for each
+/// process and outage. Each process makes several calls a second, and their
+/// failures contain the same information.
 class OutageFilter {
 public:
   /// Returns whether e is a failed store call in an outage of which a failed
-  /// call of the same process was already passed. Expects events in the order
-  /// of time.
+  /// call of the same process was already passed. Must be called once for each
+  /// event, in the order of time.
   bool checkRepetition(const LoggedEvent &e) {
     const std::string name = textIn(e.Fields, "name");
     const std::string process = textIn(e.Fields, "proc");
@@ -184,9 +190,9 @@
     if (e.Fields.contains("worker"))
       workers.insert(textIn(e.Fields, "worker"));
   }
-  std::vector<LoggedEvent> story;
+  std::vector<LoggedEvent> jobEvents;
   if (!first)
-    return story;
+    return jobEvents;
   OutageFilter outages;
   for (const LoggedEvent &e : events) {
     const bool during = e.AtUs >= *first && e.AtUs <= last;
@@ -195,9 +201,9 @@
     const bool isNewDuringJob = during && !outages.checkRepetition(e);
     if (concernsJob(job, e) ||
         (isNewDuringJob && (concernsAllJobs(e) || atWorker)))
-      story.push_back(e);
+      jobEvents.push_back(e);
   }
-  return story;
+  return jobEvents;
 }
 
 void printJson(const std::vector<LoggedEvent> &events, std::ostream &out) {
--- a/src/libs/http/asyncclient.cpp
+++ b/src/libs/http/asyncclient.cpp
@@ -21,6 +21,8 @@
 /// answers wake it immediately.
 constexpr int IdleWaitMs = 60000;
 
+/// One call and its libcurl handle, which returns to the idle handles after the
+/// call.
 struct Transfer {
   HttpCall Call;
   AsyncClient::Done Done;
--- a/src/libs/http/asyncserver.cpp
+++ b/src/libs/http/asyncserver.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// Time for which idle connections are kept. It is longer than the time for
-/// which callers keep theirs, so that the caller closes first and no request is
-/// sent on a connection that is being closed.
+/// Time after which idle connections are closed. It is longer than the idle
+/// timeout of callers, so that the caller closes first and no request is sent
+/// on a connection that is being closed.
 constexpr unsigned IdleTimeoutS = 120;
 
 /// One request from its first byte to the end of its answer.
@@ -53,8 +53,8 @@
 
 using ExchangePtr = std::shared_ptr<Exchange>;
 
-// Answers a request; one whose Respond is destroyed without an answer gets an
-// error.
+// Answers a request. If it is destroyed without an answer, the request is
+// answered with an error.
 class Responder {
 public:
   Responder(std::weak_ptr<AsyncServer::Impl> server, ExchangePtr request)
@@ -75,6 +75,8 @@
   const ExchangePtr Request;
 };
 
+/// Reference to the server for libmicrohttpd's callbacks. It is empty after the
+/// server was destroyed.
 struct ServerRef {
   std::weak_ptr<AsyncServer::Impl> Server;
 };
@@ -123,6 +125,9 @@
 
 namespace {
 
+/// libmicrohttpd calls this several times for each request: first with the
+/// headers only, then with each part of the body, then with an empty one, and
+/// again when the connection is resumed for its answer.
 MHD_Result onRequest(void *cls, MHD_Connection *connection, const char *url,
                      const char *method, const char * /*version*/,
                      const char *data, size_t *size, void **state) {
--- a/src/libs/http/httpserver.cpp
+++ b/src/libs/http/httpserver.cpp
@@ -17,10 +17,14 @@
 
 namespace {
 
+/// The body of a request, as far as it was received.
 struct Upload {
   std::string Body;
 };
 
+/// libmicrohttpd calls this several times for each request: first with the
+/// headers only, then with each part of the body, and at last with an empty
+/// one.
 MHD_Result onRequest(void *cls, MHD_Connection *connection, const char *url,
                      const char *method, const char * /*version*/,
                      const char *uploadData, size_t *uploadSize, void **state) {
--- a/src/libs/losses/attribution.cpp
+++ b/src/libs/losses/attribution.cpp
@@ -48,7 +48,8 @@
   return checkpoints && run.EndState == "stopped" && run.Started && run.Ended;
 }
 
-/// The tasks of one step of a job and the durations of their work.
+/// The completed tasks of one step in one occurrence of a job, and the
+/// durations of their work.
 class StepTimes {
 public:
   StepTimes(const JobHistory &job, const SiteHistory &site, int occurrence,
@@ -72,11 +73,13 @@
     }
   }
 
+  /// Returns the completed run that ended last (of a gang, that ended first);
+  /// null when no task was completed.
   const RunHistory *last() const { return Last; }
   const TaskId &lastTask() const { return LastTask; }
 
-  /// Returns the maximum duration of a run of the step's tasks on a healthy
-  /// worker.
+  /// Returns the duration of the step's longest task on a healthy worker. From
+  /// three tasks on it is at most SlowRunFactor times their median.
   absl::Duration healthyDuration() const {
     if (Durations.empty())
       return absl::ZeroDuration();
@@ -98,7 +101,8 @@
     return it == Site.Slowness.end() ? 1 : it->second;
   }
 
-  // Returns the duration of the work on a healthy worker.
+  // Returns the time that the task's work would take on a healthy worker: the
+  // completed run and the earlier runs whose progress was saved.
   absl::Duration workDurationOf(const Runs &runs, const RunHistory &done,
                                 bool checkpoints) const {
     auto healthyDuration = [&](const RunHistory &run) {
@@ -119,6 +123,8 @@
   TaskId LastTask;
 };
 
+/// Returns whether a run of another job failed on the same worker at about the
+/// same time, so that the failure is the worker's fault.
 bool isWorkerAtFault(const std::string &job, const RunHistory &failed,
                      const SiteHistory &site) {
   return std::any_of(site.Jobs.begin(), site.Jobs.end(), [&](const auto &j) {
@@ -155,7 +161,8 @@
   return maxLost;
 }
 
-/// Builds a critical path from its end to its start.
+/// Builds a critical path from its end to its start. Everything after the
+/// cursor is already attributed to a cause.
 class CriticalPathBuilder {
 public:
   CriticalPathBuilder(const JobHistory &job, const SiteHistory &site)
@@ -179,7 +186,8 @@
   }
 
 private:
-  // Attributes the time between from and the cursor to cause.
+  // Attributes the time between from and the cursor to cause, and moves the
+  // cursor to from.
   void attributeFrom(absl::Time from, Cause cause) {
     if (from >= Cursor)
       return;
@@ -215,12 +223,16 @@
     return latestStep;
   }
 
+  // Returns when the last of the preceding steps ended, or when the job was
+  // accepted if there is none.
   absl::Time readyAt(int step) const {
     const int s = previousStep(step);
     return s < 0 ? Job.Accepted.value_or(Job.FirstCall)
                  : *StepTimes(Job, Site, 0, s).last()->Ended;
   }
 
+  // Adds the runs of the step's last task and the waits before them, from the
+  // latest to the earliest.
   void addTask(const StepTimes &times) {
     const TaskId &id = times.lastTask();
     const Runs &runs = Job.Tasks.at(id);
@@ -287,8 +299,9 @@
     return Cause::RunBroken;
   }
 
-  // Attributes a wait from the time from to the cursor, for a task of the step;
-  // a step of -1 means that no step was ready yet.
+  // Attributes the wait of a task of the step between from and the cursor. From
+  // the first stop of other work for the job, it is a wait for stops. A step of
+  // -1 means that no step was ready yet.
   void addWait(absl::Time from, int step) {
     if (from >= Cursor)
       return;
@@ -326,6 +339,8 @@
     }
   }
 
+  // Returns the part of period that the outage with the latest end in it
+  // covers.
   std::optional<Segment> lastOutage(const Span &period) const {
     std::optional<Segment> last;
     auto checkPeriods = [&](const std::vector<Span> &spans, Cause cause) {
@@ -505,8 +520,8 @@
     if (step >= job.CoresPerTask.size())
       continue;
     for (const RunHistory &run : runs) {
-      // A member of a completed gang may have ended in another way than the
-      // gang did.
+      // Runs that were completed, saved or failed are not counted. A member of
+      // a completed gang may have ended in another way than the gang did.
       if (!run.Ended || !run.Started || run.EndState == "done" ||
           run.EndState == "failed" || isSaved(run, job.Checkpoints[step]))
         continue;
--- a/src/libs/losses/attribution.h
+++ b/src/libs/losses/attribution.h
@@ -28,7 +28,8 @@
   Starting,
   /// The work itself, in the run that completed it.
   Working,
-  /// The time by which that run exceeded the duration of comparable runs.
+  /// The time by which the completing run exceeded the duration of comparable
+  /// runs.
   SlowWorker,
   /// Runs whose work was not used because they failed, were lost with their
   /// worker or because their lease lapsed, stalled, were stopped for other
@@ -125,9 +126,9 @@
   bool operator==(const DiscardedWork &) const = default;
 };
 
-/// Returns all runs of the job whose work was not used. A run that was stopped
-/// in an orderly way and that saves its progress resumes elsewhere, so that
-/// none of its work is lost.
+/// Returns the runs of the job whose work was not used, except for those that
+/// failed. A run that was stopped in an orderly way and that saves its progress
+/// resumes elsewhere, so that none of its work is lost.
 std::vector<DiscardedWork> discardedWorkOf(const JobHistory &job);
 
 } // namespace oriolebay::losses
--- a/src/libs/losses/jobhistory.cpp
+++ b/src/libs/losses/jobhistory.cpp
@@ -19,11 +19,11 @@
 namespace {
 
 constexpr double CoresPerAccelerator = 8;
-/// Maximum time between a process's loss of the leader and the election that
-/// follows from it. A loss that is older than this is not attributed to the
-/// election.
+/// Maximum time between an event that reports the loss of the leader and the
+/// election that follows from it. Older events are not related to the election.
 constexpr absl::Duration MaxElectionDelay = absl::Seconds(8);
 
+/// Builds a SiteHistory from events in the order of time.
 class HistoryReader {
 public:
   void handleEvent(const LoggedEvent &e) {
@@ -220,7 +220,7 @@
     } else if (name == "run.stopping" && !r->StopRequested) {
       r->StopRequested = at;
       r->StopReason = why;
-      recordBeneficiary(why, at);
+      recordStopForJob(why, at);
     } else if (name == "run.stands_still") {
       r->StopReason = why;
     } else if (name == "run.ended" && !r->Ended) {
@@ -232,15 +232,16 @@
     }
   }
 
-  void recordBeneficiary(const std::string &why, absl::Time at) {
+  // Records the stop at the job for which it frees capacity, if there is one.
+  void recordStopForJob(const std::string &why, absl::Time at) {
     if (absl::StartsWith(why, CapacityStopPrefix))
       findOrAddJob(why.substr(CapacityStopPrefix.size()))
           .StopsForJob.push_back(at);
   }
 
   // Workers are compared by tasks of the same step, as the leader does. The
-  // members of a gang end together, so that their durations tell nothing about
-  // a single worker.
+  // members of a gang end together, so that their durations do not show which
+  // worker is slow.
   void estimateWorkerSpeeds() {
     jobs::WorkerSpeedEstimator speeds;
     for (const auto &[id, job] : Site.Jobs)
--- a/src/libs/losses/jobhistory.h
+++ b/src/libs/losses/jobhistory.h
@@ -34,8 +34,8 @@
   auto operator<=>(const Span &) const = default;
 };
 
-/// One run of a task as recorded in the logs. A time for which there is no log
-/// line is empty.
+/// One run of a task as recorded in the logs. Times that the logs do not
+/// contain are empty.
 struct RunHistory {
   int64_t Run = 0;
   std::string Worker;
--- a/src/libs/losses/lossreport.cpp
+++ b/src/libs/losses/lossreport.cpp
@@ -18,7 +18,7 @@
 }
 
 /// Distributes the account's lateness over the causes of its time other than
-/// work.
+/// work, in proportion to their time, and adds it to group.
 void distributeLateness(const Account &account, Group &group) {
   absl::Duration timeBesidesWork = absl::ZeroDuration();
   for (const Segment &s : account.Path)
@@ -82,6 +82,7 @@
                            100 * absl::FDivDuration(lateness, all.lateness()));
 }
 
+/// Returns the critical path as "CAUSE=SECONDS CAUSE=SECONDS ...".
 std::string pathText(const Account &account) {
   std::string out;
   for (const Segment &s : account.Path)
@@ -138,7 +139,8 @@
 Losses lossesOf(const SiteHistory &site) {
   Losses losses;
   for (const auto &[id, job] : site.Jobs) {
-    // Known only by its id, from the reason of a stop of another job's run.
+    // The logs contain no call for this job. They may only mention its id, for
+    // example in the reason of a stop of another job's run.
     if (job.FirstCall == absl::InfiniteFuture())
       continue;
     const Account account = accountOf(job, site);
--- a/src/libs/losses/lossreport.h
+++ b/src/libs/losses/lossreport.h
@@ -19,6 +19,7 @@
   std::map<Cause, absl::Duration> LatenessByCause;
   double DiscardedCoreSeconds = 0;
 
+  /// Returns the number of jobs whose callers were entitled to a result.
   int owed() const;
   absl::Duration lateness() const;
   bool operator==(const Group &) const = default;
@@ -42,8 +43,8 @@
   bool operator==(const Losses &) const = default;
 };
 
-/// Length in seconds of the windows in which losses are counted. The users
-/// count them in the same windows.
+/// Length in seconds of the windows in which losses are counted. Users count
+/// losses in windows of the same length.
 constexpr int64_t WindowSeconds = 2;
 
 Losses lossesOf(const SiteHistory &site);
--- a/src/libs/metrics/processmetrics.cpp
+++ b/src/libs/metrics/processmetrics.cpp
@@ -101,14 +101,14 @@
       .Set(value);
 }
 
-void ProcessMetrics::countEvents() {
+void ProcessMetrics::updateEventCounters() {
   for (const auto &[event, total] : eventlog::eventCounts())
     increaseTo(Events.Add({{"event", eventlog::eventName(event)}}), total);
   increaseTo(LinesLeftOut.Add({}), eventlog::droppedLineCount());
 }
 
 std::string ProcessMetrics::text() {
-  countEvents();
+  updateEventCounters();
   return prometheus::TextSerializer().Serialize(Registry.Collect());
 }
 
--- a/src/libs/metrics/processmetrics.h
+++ b/src/libs/metrics/processmetrics.h
@@ -13,7 +13,7 @@
 namespace oriolebay::metrics {
 
 /// Counters, gauges and latency histograms of one process, named by the
-/// conventions of Prometheus. Thread-safe. Counting costs about a microsecond
+/// conventions of Prometheus. Thread-safe. Counting takes about a microsecond
 /// and never waits for readers.
 class ProcessMetrics {
 public:
@@ -34,6 +34,7 @@
   /// Counts an order when its outcome is known to the agent.
   void recordOrderOutcome(const std::string &outcome);
 
+  /// Sets a gauge, which is exported as "oriolebay_" followed by its name.
   void set(const std::string &gauge, const std::string &help, double value);
 
   /// Returns all metrics in the text format of Prometheus, including the event
@@ -41,7 +42,8 @@
   std::string text();
 
 private:
-  void countEvents();
+  /// Updates the counters of events and dropped lines from the event log.
+  void updateEventCounters();
 
   prometheus::Registry Registry;
   prometheus::Family<prometheus::Counter> &Calls;
--- a/src/libs/operators/configfollower.cpp
+++ b/src/libs/operators/configfollower.cpp
@@ -111,9 +111,8 @@
           return;
         if (r.ok()) {
           // The configuration in force may have changed since the
-          // call was sent. Then the answer is about an older one,
-          // but a newer one was seen since, so that the view is at
-          // least as fresh.
+          // call was sent. The answer is then about an older one,
+          // and the newer view is at least as fresh.
           if (expectedRevision <= Revision)
             ConfirmedAt = std::max(ConfirmedAt, sentAt);
           done(true);
--- a/src/libs/operators/configfollower.h
+++ b/src/libs/operators/configfollower.h
@@ -42,6 +42,8 @@
 public:
   using OnConfig =
       std::function<void(const std::shared_ptr<const core::SiteConfig> &)>;
+  /// Called when a configuration in the store cannot be parsed or has a lower
+  /// version than the one in force.
   using OnRefused = std::function<void(const utils::Error &)>;
   /// Called when a newer configuration than the one in force here is known to
   /// exist.
@@ -87,15 +89,19 @@
   /// Returns the age of the view: the time since the sending of the last call
   /// whose answer showed that the configuration in force is the newest one.
   absl::Duration age(absl::Time now) const { return now - ConfirmedAt; }
-  /// Applies the configuration's key as returned by another call that was sent
-  /// at sentAt.
+  /// Applies a value of the configuration's key that another store call, sent
+  /// at sentAt, returned.
   void applyItem(const platform::KeyValue &item, absl::Time sentAt);
-  /// Confirms the view now and calls done with whether that succeeded. With a
+  /// Asks the store whether the configuration in force is still the newest one;
+  /// if it is not, applies the newer one. Calls done with whether the store
+  /// answered, and with false when no configuration was read yet. With a
   /// timeoutMs of 0 the store's own timeout applies.
   void confirm(std::function<void(bool)> done, long timeoutMs = 0);
 
 private:
   void scheduleConfirmation();
+  /// Puts the configuration in item in force, or refuses it. Ignores values
+  /// that are not newer than the newest one seen.
   void applyConfig(const platform::KeyValue &item);
 
   utils::EventLoop &Loop;
--- a/src/libs/operators/profilestore.cpp
+++ b/src/libs/operators/profilestore.cpp
@@ -14,6 +14,7 @@
 
 constexpr long MaxBackoffMs = 2000;
 
+/// Returns the profile stored in kv, with Version set to the key's revision.
 utils::Result<core::Profile> parseProfile(const platform::KeyValue &kv) {
   auto j = nlohmann::json::parse(kv.Value, nullptr, false);
   try {
@@ -84,8 +85,9 @@
 
 ProfileWatcher::ProfileWatcher(platform::KvClient &kv, OnProfile onProfile,
                                OnStoreError onError, long pollMs)
-    : Kv(kv), Deliver(std::move(onProfile)), Report(std::move(onError)),
-      PollMs(pollMs), Thread([this] { follow(); }) {}
+    : Kv(kv), NotifyProfile(std::move(onProfile)),
+      NotifyStoreError(std::move(onError)), PollMs(pollMs),
+      Thread([this] { follow(); }) {}
 
 ProfileWatcher::~ProfileWatcher() { stop(); }
 
@@ -106,7 +108,7 @@
             BOOST_LEAF_AUTO(kvs, Kv.list(ProfilePrefix, &revision));
             for (const platform::KeyValue &k : kvs)
               if (auto p = parseProfile(k))
-                Deliver(p.value());
+                NotifyProfile(p.value());
             next = revision + 1;
             return true;
           }
@@ -114,20 +116,20 @@
           for (const platform::KeyValue &k : batch.Changes) {
             next = std::max(next, k.ModRevision + 1);
             if (auto p = parseProfile(k))
-              Deliver(p.value());
+              NotifyProfile(p.value());
           }
           return true;
         },
         [&](const utils::Error &e) {
-          Report(e);
+          NotifyStoreError(e);
           return false;
         });
     if (ok) {
       backoffMs = 100;
       continue;
     }
-    // The store is down or slow. Waits before the next call, because otherwise
-    // each entry would retry in a tight loop during an outage.
+    // Waits before the next call, because otherwise each entry would retry in a
+    // tight loop while the store is down or slow.
     absl::SleepFor(absl::Milliseconds(backoffMs));
     backoffMs = std::min(MaxBackoffMs, backoffMs * 2);
   }
--- a/src/libs/operators/profilestore.h
+++ b/src/libs/operators/profilestore.h
@@ -24,36 +24,38 @@
                                     const core::Profile &profile,
                                     int64_t expectedVersion);
 
-/// Returns all profiles in the store, each with Version set to its key's
-/// revision.
+/// Returns all valid profiles in the store, each with Version set to its key's
+/// revision. Values that cannot be parsed are skipped.
 utils::Result<std::vector<core::Profile>> readProfiles(platform::KvClient &kv);
 
 /// Returns what to fix in profile; empty when it can be applied.
 std::string checkProfile(const core::Profile &profile);
 
 /// Follows the profiles in the store on its own thread: reads all of them, then
-/// long-polls for changes, and passes each one to the callback. During a store
-/// outage it retries with backoff; profiles that were applied before stay in
-/// force.
+/// long-polls for changes, and passes each valid one to the callback. During a
+/// store outage it retries with backoff; profiles that were applied before stay
+/// in force.
 class ProfileWatcher {
 public:
   using OnProfile = std::function<void(const core::Profile &)>;
   using OnStoreError = std::function<void(const utils::Error &)>;
 
+  /// pollMs limits each long poll. The callbacks run on the watcher's thread.
   ProfileWatcher(platform::KvClient &kv, OnProfile onProfile,
                  OnStoreError onError, long pollMs);
   ~ProfileWatcher();
   ProfileWatcher(const ProfileWatcher &) = delete;
   ProfileWatcher &operator=(const ProfileWatcher &) = delete;
 
+  /// Waits for the current poll to end and stops the thread.
   void stop();
 
 private:
   void follow();
 
   platform::KvClient &Kv;
-  OnProfile Deliver;
-  OnStoreError Report;
+  OnProfile NotifyProfile;
+  OnStoreError NotifyStoreError;
   const long PollMs;
   std::atomic<bool> Stopping{false};
   std::thread Thread;
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Number of reports in one heartbeat period, and number of consecutive reports
-/// that are missing when a worker becomes unresponsive.
+/// Number of reports in one heartbeat period, and number of consecutive missing
+/// reports after which a worker counts as unresponsive.
 constexpr int ReportsPerHeartbeat = 3;
 /// Factor by which a worker's clock may be slower than real time.
 constexpr double WorkerClockFactor = 1.02;
@@ -23,7 +23,8 @@
 /// Maximum time between a stop and the start that uses the freed capacity: a
 /// report, two writes to a slow store (0.4 s each) and the order.
 constexpr absl::Duration MaxStopToStartDelay = absl::Milliseconds(1000);
-/// Time that is left before a process is killed when it exits after SIGTERM.
+/// Time between the exit of a process after SIGTERM, at the latest, and the
+/// time when it would be killed.
 constexpr absl::Duration ShutdownMargin = absl::Milliseconds(800);
 
 utils::Result<void> readAddress(Reader &r, const char *key, bool required,
@@ -46,6 +47,8 @@
   return {};
 }
 
+/// Reads an optional time in milliseconds; out keeps its default when key is
+/// missing.
 utils::Result<void> readMs(Reader &r, const char *key, int &out) {
   BOOST_LEAF_CHECK(r.get(key, out, false));
   if (out <= 0)
@@ -56,6 +59,8 @@
   return {};
 }
 
+/// Reads an optional time in seconds into outMs, which keeps its default when
+/// key is missing.
 utils::Result<void> readSeconds(Reader &r, const char *key, int &outMs) {
   double seconds = outMs / 1000.0;
   BOOST_LEAF_CHECK(r.get(key, seconds, false));
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -20,7 +20,8 @@
 /// Time limits that the site guarantees or requires; every timeout is derived
 /// from them. Times are in milliseconds.
 struct SiteBounds {
-  /// Maximum time ahead for which a worker accepts a keep-alive of its tasks.
+  /// Longest extension of task leases that a worker accepts in one keep-alive
+  /// call.
   int HoldMaxMs = 6000;
   /// Maximum time that it takes to stop a task.
   int StopGraceMs = 900;
@@ -73,7 +74,8 @@
   bool operator==(const NodeSettings &) const = default;
 };
 
-/// Intervals and timeouts that are derived from a site's bounds.
+/// Intervals and timeouts that are derived from a site's bounds and the
+/// heartbeat period.
 struct Timing {
   /// Interval at which agents report to the leader. It is a third of the
   /// heartbeat period, so that two reports may be lost before a worker counts
@@ -83,21 +85,26 @@
   /// which is three report intervals.
   absl::Duration UnresponsiveAfter;
   /// Maximum time for which an agent may keep tasks alive after a report that
-  /// the leader answered. It is the limit of the worker less one report
+  /// the leader answered. It is the worker's limit (HoldMaxMs) less one report
   /// interval, so that each renewal can extend the lease by the whole grant.
   absl::Duration Grant;
   /// Maximum time for which the leader extends grants without access to the
-  /// store. It is twice the maximum hold time of a worker, which covers an
-  /// outage of the store and the time that it takes to recover.
+  /// store. It is twice the worker's limit (HoldMaxMs), which covers an outage
+  /// of the store and the time of its recovery.
   absl::Duration GrantWithoutStore;
   /// Time after which a grant has certainly ended. It allows for a worker's
   /// clock that is 2% slow and for a call that is still in flight.
   absl::Duration GrantExpiredAfter;
+  /// Duration of the leader's lease in the store: two thirds of the time for
+  /// which a replaced process may still act (LeaseMs), but not less than the
+  /// store's minimum.
   absl::Duration LeaderLease;
   /// Interval at which the configuration is confirmed. It is short enough that
   /// a change is in force in time even if one answer is lost.
   absl::Duration ConfirmInterval;
-  /// Maximum age of a view of the configuration that was confirmed in time.
+  /// Maximum age of a view of the configuration that was confirmed in time. If
+  /// the view is older, a confirmation is missing, and the store's watches are
+  /// not relied on either.
   absl::Duration MaxConfirmedConfigAge;
   /// Maximum age of a view of the configuration. Calls are not served with
   /// older views.
@@ -105,8 +112,9 @@
   /// Maximum age of the view with which a process reports itself as ready.
   absl::Duration NotReadyAfter;
   /// Time after which capacity is freed for work within its organisation's
-  /// guarantee, however much work that discards. The stop itself, the writes to
-  /// the store and the start take place in the rest of the bound.
+  /// guarantee, regardless of the work that this discards. The rest of the
+  /// bound (ReclaimMs) is for the stop itself, the writes to the store and the
+  /// start.
   absl::Duration ReclaimAfter;
   /// Maximum time that a process takes to stop.
   absl::Duration MaxShutdownTime;
--- a/src/libs/settings/reader.h
+++ b/src/libs/settings/reader.h
@@ -15,6 +15,8 @@
   Reader(const nlohmann::json &object, std::string keyPrefix)
       : Object(object), KeyPrefix(std::move(keyPrefix)) {}
 
+  /// Reads the value of key into out. When an optional key is missing, out
+  /// keeps its value.
   template <class T>
   utils::Result<void> get(const char *key, T &out, bool required) {
     RequestedKeys.insert(key);
@@ -35,6 +37,7 @@
     return {};
   }
 
+  /// Fails when the object has a key that was not requested with get().
   utils::Result<void> requireNoOtherKeys() const {
     for (const auto &[key, value] : Object.items())
       if (RequestedKeys.count(key) == 0)
--- a/src/libs/utils/boottime.h
+++ b/src/libs/utils/boottime.h
@@ -10,7 +10,7 @@
 /// This clock never jumps and includes the time for which the host was
 /// suspended. It is used for ages and leases that are compared with those of
 /// another host: after a suspension the steady clock would still show a lease
-/// as held that has lapsed on all other hosts.
+/// as valid that has lapsed on all other hosts.
 inline absl::Time bootNow() {
   timespec ts{};
   clock_gettime(CLOCK_BOOTTIME, &ts);
--- a/src/libs/utils/error.h
+++ b/src/libs/utils/error.h
@@ -6,8 +6,7 @@
 
 namespace oriolebay::utils {
 
-/// Kinds of errors that a library reports to its users. Each error has its own
-/// remedy in its message.
+/// Kinds of errors that a library reports to its callers.
 enum class ErrorKind {
   BadSettings,
   StoreUnavailable,
--- a/src/libs/utils/eventloop.cpp
+++ b/src/libs/utils/eventloop.cpp
@@ -29,8 +29,8 @@
 absl::Time EventLoop::now() const {
   if (TimeKind == Time::Real)
     return bootNow();
-  // Manual time starts an hour after zero, so that a time of zero does not look
-  // like a recent event at the start.
+  // Manual time starts an hour after zero, so that an event with a time of zero
+  // does not appear recent at the start.
   return absl::UnixEpoch() + absl::Hours(1) + absl::FromChrono(ManualElapsed);
 }
 
--- a/src/libs/utils/eventloop.h
+++ b/src/libs/utils/eventloop.h
@@ -47,7 +47,8 @@
   void run();
   void stop();
 
-  /// Manual time only: runs all tasks and timers that are due within duration.
+  /// Manual time only: runs the queued tasks and moves the time forward by
+  /// duration, running each timer that becomes due at its time.
   void advance(absl::Duration duration);
 
 private:
--- a/src/libs/utils/steadyclock.h
+++ b/src/libs/utils/steadyclock.h
@@ -8,7 +8,7 @@
 
 /// Returns the time of the steady clock as an absl::Time (its zero is
 /// arbitrary). Leases and timeouts use it because the time of day jumps on some
-/// hosts, which would make a lease appear lapsed or held forever.
+/// hosts, which would make a lease appear lapsed or valid forever.
 inline absl::Time steadyNow() {
   return absl::UnixEpoch() +
          absl::FromChrono(std::chrono::steady_clock::now().time_since_epoch());
