--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Installs what the build needs, builds, and runs every test. Just the tests that
-# are the first word of a line in KNOWN-RED.txt are passed over and printed.
+# Installs the build dependencies, builds, and runs all tests. Only the tests
+# named by the first word of a line in KNOWN-RED.txt are skipped; their lines are
+# printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/install-deps.sh
--- a/src/app/agent/jobscommand.cpp
+++ b/src/app/agent/jobscommand.cpp
@@ -7,9 +7,9 @@
 #include "metrics/metricsserver.h"
 #include "settings/nodesettings.h"
 #include "settings/settings.h"
-#include "storeform.h"
+#include "storeadapter.h"
 #include "utils/eventloop.h"
-#include "workerform.h"
+#include "workeradapter.h"
 
 #include <iostream>
 #include <stdexcept>
@@ -36,15 +36,16 @@
               adapter::makeWorkerCalls(Loop, Client, Settings.Worker.text()),
               Settings, EntryPrefix,
               [this](const endpoints::OrderResult &r) {
-                Metrics.orderConcluded(endpoints::orderOutcomeName(r.Outcome));
+                Metrics.recordOrderOutcome(
+                    endpoints::orderOutcomeName(r.Outcome));
               }),
         Heartbeats(
             Loop, Settings.Control.Host, Settings.Control.Port,
             [this](const endpoints::Heartbeat &b) {
               return Agent.onHeartbeat(b);
             },
-            [this](const endpoints::WorkerLife &life) {
-              Agent.onLeave(life);
+            [this](const endpoints::WorkerIncarnation &incarnation) {
+              Agent.onDeregister(incarnation);
             }) {
     if (Settings.Metrics.Port > 0)
       MetricsHttpServer = std::make_unique<metrics::MetricsServer>(
@@ -64,6 +65,7 @@
   }
 
 private:
+  // Updates the gauges before the metrics are read.
   void refresh(metrics::ProcessMetrics &m) const {
     const AgentStatus s = Agent.status();
     m.set("worker_reachable", "1 while the worker beside it answers.",
@@ -75,7 +77,7 @@
     m.set("tasks_running", "Tasks that the worker was last seen to run.",
           static_cast<double>(s.Running));
     m.set("ends_open", "Ends of tasks that are not recorded yet.",
-          static_cast<double>(s.EndsOpen));
+          static_cast<double>(s.UnacknowledgedEnds));
     m.set("grant_left_seconds", "For how long tasks may be kept alive.",
           s.GrantLeftSeconds);
   }
@@ -85,7 +87,7 @@
   http::AsyncClient Client;
   metrics::ProcessMetrics Metrics;
   WorkerAgent Agent;
-  adapter::HeartbeatFront Heartbeats;
+  adapter::HeartbeatServer Heartbeats;
   std::unique_ptr<metrics::MetricsServer> MetricsHttpServer;
 };
 
--- a/src/app/entry/jobscommand.cpp
+++ b/src/app/entry/jobscommand.cpp
@@ -1,15 +1,15 @@
 #include "jobscommand.h"
 
-#include "callerform.h"
+#include "calleradapter.h"
 #include "common/signalthread.h"
-#include "configform.h"
+#include "configadapter.h"
 #include "entry/jobentry.h"
 #include "eventlog/eventlog.h"
 #include "http/asyncclient.h"
 #include "metrics/metricsserver.h"
 #include "settings/nodesettings.h"
 #include "settings/settings.h"
-#include "storeform.h"
+#include "storeadapter.h"
 #include "utils/boottime.h"
 #include "utils/eventloop.h"
 
@@ -39,9 +39,9 @@
       : Settings(settings), Loop(LoopCapacity),
         Entry(Loop, adapter::makeStore(Loop, Client, Settings.Store.text()),
               endpoints::makeNngPeers(Loop, "tcp://" + Settings.Peers.text()),
-              Settings, adapter::readConfig, adapter::ConfigKey,
+              Settings, adapter::parseConfig, adapter::ConfigKey,
               metricObservers()),
-        Callers(Loop, Entry.desk(), Settings.Callers.Host,
+        Callers(Loop, Entry.jobService(), Settings.Callers.Host,
                 Settings.Callers.Port),
         Ready(
             Loop, [this](std::string *why) { return Entry.ready(why); },
@@ -66,26 +66,28 @@
   EntryObservers metricObservers() {
     EntryObservers o;
     o.Called = [this](const jobs::CallDecision &d) {
-      Metrics.callAnswered(d.Call, jobs::callResultName(d.Answer.Result),
-                           absl::Milliseconds(d.TookMs));
+      Metrics.recordCall(d.Call, jobs::callResultName(d.Answer.Result),
+                         absl::Milliseconds(d.TookMs));
     };
-    o.Decided = [this](const jobs::Decision &d) { countDecision(d); };
+    o.Decided = [this](const jobs::Decision &d) { recordDecision(d); };
     o.StoreCalled = [this](const char *call, platform::StoreStatus status,
                            absl::Duration duration) {
-      Metrics.storeCalled(call, platform::storeStatusName(status), duration);
+      Metrics.recordStoreCall(call, platform::storeStatusName(status),
+                              duration);
     };
     return o;
   }
 
-  void countDecision(const jobs::Decision &d) {
+  void recordDecision(const jobs::Decision &d) {
     if (d.What == jobs::Decision::Kind::Placed)
-      Metrics.runPlaced(static_cast<int>(d.input("rank")),
-                        absl::Milliseconds(d.input("waited_ms")));
+      Metrics.recordRunPlaced(static_cast<int>(d.input("rank")),
+                              absl::Milliseconds(d.input("waited_ms")));
     else if (d.What == jobs::Decision::Kind::JobEnded)
-      Metrics.jobEnded(d.Why, static_cast<int>(d.input("priority")),
-                       absl::Milliseconds(d.input("took_ms")));
+      Metrics.recordJobEnded(d.Why, static_cast<int>(d.input("priority")),
+                             absl::Milliseconds(d.input("took_ms")));
   }
 
+  // Updates the gauges before the metrics are read.
   void refresh(metrics::ProcessMetrics &m) const {
     const EntryStatus s = Entry.status();
     m.set("config_version", "Version of the configuration in force here.",
@@ -109,6 +111,8 @@
           Callers.unanswered());
   }
 
+  // Stops the entry; the process exits when it is idle. Further signals have no
+  // effect.
   void stop() {
     if (StopStartedAt != absl::InfinitePast())
       return;
@@ -118,11 +122,13 @@
     exitWhenIdle();
   }
 
+  // Exits when the load balancer has had time to notice the stop and all calls
+  // are answered, but at the latest after MaxShutdownTime.
   void exitWhenIdle() {
     const absl::Duration sinceStop = utils::bootNow() - StopStartedAt;
     const bool idle =
         sinceStop >= BalancerDetectionTime && Callers.unanswered() == 0;
-    if (idle || sinceStop >= settings::deriveTiming(Settings).LeaveBy) {
+    if (idle || sinceStop >= settings::deriveTiming(Settings).MaxShutdownTime) {
       logEvent(Event::ProcessStopped, {{"unanswered", Callers.unanswered()}});
       Loop.stop();
       return;
@@ -135,8 +141,8 @@
   http::AsyncClient Client;
   metrics::ProcessMetrics Metrics;
   JobEntry Entry;
-  adapter::CallerFront Callers;
-  adapter::ReadyFront Ready;
+  adapter::CallerServer Callers;
+  adapter::ReadinessServer Ready;
   std::unique_ptr<metrics::MetricsServer> MetricsHttpServer;
   absl::Time StopStartedAt = absl::InfinitePast();
 };
--- a/src/libs/agent/workeragent.h
+++ b/src/libs/agent/workeragent.h
@@ -2,11 +2,11 @@
 
 #include "endpoints/peers.h"
 #include "endpoints/workercalls.h"
-#include "latestarts.h"
 #include "leaderfinder.h"
 #include "platform/store.h"
 #include "settings/nodesettings.h"
-#include "startbook.h"
+#include "starttracker.h"
+#include "unansweredstarts.h"
 
 #include <absl/time/time.h>
 
@@ -33,7 +33,7 @@
   int64_t LeaderEpoch = 0;
   size_t Running = 0;
   /// Number of ended runs that the leader has not acknowledged.
-  size_t EndsOpen = 0;
+  size_t UnacknowledgedEnds = 0;
   /// Time in seconds for which the agent may still keep its tasks alive; zero
   /// if the grant has expired.
   double GrantLeftSeconds = 0;
@@ -57,21 +57,24 @@
   WorkerAgent(const WorkerAgent &) = delete;
   WorkerAgent &operator=(const WorkerAgent &) = delete;
 
+  /// Starts the periodic reports. Heartbeats and orders are handled from the
+  /// construction on.
   void start();
-  /// Handles a heartbeat of the worker. Returns true if the heartbeat can be
-  /// acknowledged.
+  /// Handles a heartbeat of the worker. Returns whether the heartbeat can be
+  /// acknowledged; this is always the case, also for an ignored heartbeat.
   bool onHeartbeat(const endpoints::Heartbeat &heartbeat);
   /// Handles the deregistration of a worker incarnation, which announces its
   /// end.
-  void onLeave(const endpoints::WorkerLife &incarnation);
+  void onDeregister(const endpoints::WorkerIncarnation &incarnation);
   /// Stops as planned: the tasks are kept alive for as long as granted, so that
   /// they survive the change to the next agent process. Calls done when this
-  /// process can end.
+  /// process can end. Further calls have no effect and do not call done.
   void stop(std::function<void()> done);
   AgentStatus status() const;
 
 private:
   struct Order;
+  /// A task and the number of its run.
   using RunKey = std::pair<std::string, int64_t>;
   using OrderPtr = std::shared_ptr<Order>;
 
@@ -80,8 +83,9 @@
 
   /// Returns whether the outcome comes from another incarnation than the called
   /// one.
-  static bool isOtherIncarnation(const endpoints::CallOutcome &outcome,
-                                 const endpoints::WorkerLife &incarnation);
+  static bool
+  isOtherIncarnation(const endpoints::CallOutcome &outcome,
+                     const endpoints::WorkerIncarnation &incarnation);
   /// Applies a heartbeat of the served incarnation.
   void applyHeartbeat(const endpoints::Heartbeat &heartbeat);
   /// Calls the worker to check whether the incarnation of the heartbeat is the
@@ -91,45 +95,69 @@
   /// How the agent learned that the served incarnation has ended.
   enum class EndReason { Deregistered, ConnectionRefused, Superseded };
   void endIncarnation(const std::string &why, EndReason reason);
-  void resolveUnansweredStarts(const endpoints::WorkerLife &ended);
-  void resolveUnansweredStart(const endpoints::WorkerLife &ended,
+  void resolveUnansweredStarts(const endpoints::WorkerIncarnation &ended);
+  void resolveUnansweredStart(const endpoints::WorkerIncarnation &ended,
                               const endpoints::RunId &run);
-  void recordIncarnationEnd(endpoints::LifeEnd end);
+  void recordIncarnationEnd(endpoints::IncarnationEnd end);
   void logIgnoredHeartbeat(const endpoints::Heartbeat &heartbeat);
-  bool hasEnded(const endpoints::WorkerLife &incarnation) const;
-  void removeIncarnationEnd(const endpoints::WorkerLife &incarnation);
+  bool hasEnded(const endpoints::WorkerIncarnation &incarnation) const;
+  void removeIncarnationEnd(const endpoints::WorkerIncarnation &incarnation);
 
+  /// Sends a keep-alive call, which also polls the worker. waitMs is the
+  /// maximum time for which the worker may delay its answer.
   void sendKeepAlive(int64_t waitMs);
-  endpoints::HoldCall makeKeepAliveCall(int64_t waitMs) const;
+  endpoints::KeepAliveCall makeKeepAliveCall(int64_t waitMs) const;
+  /// Sends a keep-alive call after delay, unless another one is scheduled or,
+  /// by then, in flight.
   void scheduleKeepAlive(absl::Duration delay);
+  /// Handles the answer to the keep-alive call with this number, which was sent
+  /// with this epoch.
   void onKeepAliveReply(uint64_t number, int64_t epoch,
-                        const endpoints::HoldReply &reply);
+                        const endpoints::KeepAliveReply &reply);
   absl::Duration pauseBeforePoll() const;
   /// Counts a failed poll, and reports the worker as unreachable after several.
   void recordFailedPoll(const std::string &why);
+  /// Records that the worker answered, with its clock. Has no effect if the
+  /// answer contained no clock (zero).
   void recordWorkerClock(int64_t clockMs);
   /// Returns the time on the worker's clock until which the grant allows its
   /// tasks to run; zero if the grant has expired or the clock is unknown.
   int64_t keepAliveUntilMs() const;
 
+  /// Sends the next attempt of a start. Completes the order without an attempt
+  /// if the run must not start any more.
   void startTask(const OrderPtr &order);
-  void onStarted(const OrderPtr &order, const endpoints::CallOutcome &outcome);
+  /// Handles the outcome of an attempt of a start, also if it got no answer.
+  void onStartReply(const OrderPtr &order,
+                    const endpoints::CallOutcome &outcome);
+  /// Sends the next attempt of a stop.
   void stopTask(const OrderPtr &order);
-  void onStopped(const OrderPtr &order, const endpoints::CallOutcome &outcome);
-  /// Completes the stops whose runs the lists of this call no longer contain.
+  /// Handles the outcome of an attempt of a stop, also if it got no answer.
+  void onStopReply(const OrderPtr &order,
+                   const endpoints::CallOutcome &outcome);
+  /// Resolves the stops whose runs are no longer listed as running in the
+  /// answer to the keep-alive call with this number. A run that is not listed
+  /// as ended either is reported as absent.
   void resolveStops(uint64_t callNumber);
+  /// Remembers, logs and reports the outcome of an order.
   void completeOrder(const RunKey &run, endpoints::OrderOutcome outcome,
                      const std::string &detail);
 
+  /// Sends a report in the next iteration of the event loop.
   void reportSoon();
   void report();
+  /// Sends a report after the report interval, and schedules the next one.
   void scheduleReport();
   void sendReport(const std::string &address,
                   const endpoints::WorkerReport &message);
+  /// Handles the answer to a report. sent is when the report was sent, from
+  /// which the grant counts; resultsEnd is the number after that of the last
+  /// result in the report.
   void onReportAck(const std::string &address, const endpoints::ReportAck &ack,
                    absl::Time sent, uint64_t resultsEnd);
   void onReportUnanswered(const std::string &address);
   void reportAfter(absl::Duration delay);
+  /// Logs once that the grant has expired.
   void logGrantEnd();
   void readEntriesFromStore();
   static std::vector<std::string>
@@ -141,7 +169,7 @@
   const settings::NodeSettings Settings;
   const settings::Timing Time;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  const platform::Store Calls;
+  const platform::Store StoreClient;
   const std::string EntryPrefix;
   const OnOrderCompleted NotifyOrderCompleted;
   LeaderFinder Leader;
@@ -152,12 +180,12 @@
   int64_t LastHeartbeatSequence = 0;
   absl::Time LastHeartbeatAt;
   /// The latest incarnations that have ended, the newest last.
-  std::vector<endpoints::LifeEnd> EndedIncarnations;
+  std::vector<endpoints::IncarnationEnd> EndedIncarnations;
   /// Ended incarnations whose heartbeats were ignored. Only the first one of
   /// each is logged.
-  std::set<endpoints::WorkerLife> IgnoredIncarnations;
+  std::set<endpoints::WorkerIncarnation> IgnoredIncarnations;
   /// Incarnation that is being probed; empty if none.
-  endpoints::WorkerLife ProbedIncarnation;
+  endpoints::WorkerIncarnation ProbedIncarnation;
   /// Worker clock minus boot clock in milliseconds, as of the last answer.
   std::optional<int64_t> ClockOffset;
 
@@ -196,7 +224,7 @@
   bool ListsReceived = false;
 
   /// Starts that were sent to this incarnation.
-  StartBook SentStarts;
+  StartTracker SentStarts;
   /// Starts without an answer. Kept across incarnations, as they may share an
   /// id.
   UnansweredStarts Unanswered;
--- a/src/libs/agent/workeragent_orders.cpp
+++ b/src/libs/agent/workeragent_orders.cpp
@@ -38,7 +38,7 @@
 struct WorkerAgent::Order {
   endpoints::StartOrder Start;
   endpoints::StopOrder Stop;
-  endpoints::WorkerLife Life;
+  endpoints::WorkerIncarnation Incarnation;
   /// Epoch of the leader that gave the order. Every attempt carries this epoch,
   /// never a newer one.
   int64_t Epoch = 0;
@@ -74,7 +74,7 @@
     else if (StopsInProgress.count(key) == 0) {
       auto order = std::make_shared<Order>();
       order->Stop = stop;
-      order->Life = orders.Life;
+      order->Incarnation = orders.Life;
       order->Epoch = orders.Epoch;
       StopsInProgress[key] = order;
       stopTask(order);
@@ -94,7 +94,7 @@
     } else if (StartsInProgress.count(key) == 0) {
       auto order = std::make_shared<Order>();
       order->Start = start;
-      order->Life = orders.Life;
+      order->Incarnation = orders.Life;
       order->Epoch = orders.Epoch;
       StartsInProgress[key] = order;
       startTask(order);
@@ -112,7 +112,7 @@
             {"outcome", endpoints::orderOutcomeName(outcome)},
             {"why", detail}});
   if (outcome != OrderOutcome::Started && outcome != OrderOutcome::Unconfirmed)
-    SentStarts.neverBegan({run.first, run.second});
+    SentStarts.recordNotStarted({run.first, run.second});
   if (NotifyOrderCompleted)
     NotifyOrderCompleted(result);
   if (CompletedOrders.emplace(run, result).second)
@@ -144,7 +144,7 @@
     StartsInProgress.erase(key);
     completeOrder(key,
                   order->PossiblyDelivered ? OrderOutcome::Unconfirmed
-                                           : OrderOutcome::NoRoom,
+                                           : OrderOutcome::NoCapacity,
                   "its capacity has shrunk");
     return;
   }
@@ -161,20 +161,21 @@
     return;
   }
   endpoints::StartCall call;
-  call.Life = order->Life;
+  call.Incarnation = order->Incarnation;
   call.Order = order->Start;
   call.UntilMs = until;
   call.Epoch = order->Epoch;
   call.FreshConnection = order->Attempts > 0;
   ++order->Attempts;
-  SentStarts.sent({key.first, key.second}, Loop.now());
+  SentStarts.recordSent({key.first, key.second}, Loop.now());
   Worker.Start(call, [this, alive = Alive, order](const CallOutcome &outcome) {
-    if (*alive && order->Life == State.Life)
-      onStarted(order, outcome);
+    if (*alive && order->Incarnation == State.Life)
+      onStartReply(order, outcome);
   });
 }
 
-void WorkerAgent::onStarted(const OrderPtr &order, const CallOutcome &outcome) {
+void WorkerAgent::onStartReply(const OrderPtr &order,
+                               const CallOutcome &outcome) {
   const RunKey key{order->Start.Task, order->Start.Run};
   recordWorkerClock(outcome.ClockMs);
   auto end = [&](OrderOutcome result) {
@@ -188,15 +189,15 @@
   };
   switch (outcome.Status) {
   case CallStatus::Ok:
-    SentStarts.taken({key.first, key.second});
+    SentStarts.recordAccepted({key.first, key.second});
     return end(OrderOutcome::Started);
-  case CallStatus::OtherLife:
+  case CallStatus::OtherIncarnation:
     return end(OrderOutcome::Gone);
   case CallStatus::Busy:
     return end(OrderOutcome::Busy);
   case CallStatus::Refused:
-    if (outcome.Reason == RefusalReason::NoRoom)
-      return end(OrderOutcome::NoRoom);
+    if (outcome.Reason == RefusalReason::NoCapacity)
+      return end(OrderOutcome::NoCapacity);
     if (outcome.Reason == RefusalReason::Fenced)
       return end(OrderOutcome::Fenced);
     return end(OrderOutcome::Refused);
@@ -205,15 +206,15 @@
     Unanswered.recordAttempt({key.first, key.second}, Loop.now());
     break;
   case CallStatus::NotSent:
-  case CallStatus::NotThere:
+  case CallStatus::NotListening:
     if (!order->PossiblyDelivered)
-      SentStarts.neverBegan({key.first, key.second});
+      SentStarts.recordNotStarted({key.first, key.second});
     break;
   }
   if (order->Attempts >= MaxStartAttempts)
     return end(OrderOutcome::Refused);
   Loop.runAfter(OrderRetryPause, [this, alive = Alive, order] {
-    if (*alive && order->Life == State.Life)
+    if (*alive && order->Incarnation == State.Life)
       startTask(order);
   });
 }
@@ -224,18 +225,19 @@
     return;
   }
   endpoints::StopCall call;
-  call.Life = order->Life;
+  call.Incarnation = order->Incarnation;
   call.Order = order->Stop;
   call.Epoch = order->Epoch;
   call.FreshConnection = order->Attempts > 0;
   ++order->Attempts;
   Worker.Stop(call, [this, alive = Alive, order](const CallOutcome &outcome) {
-    if (*alive && order->Life == State.Life)
-      onStopped(order, outcome);
+    if (*alive && order->Incarnation == State.Life)
+      onStopReply(order, outcome);
   });
 }
 
-void WorkerAgent::onStopped(const OrderPtr &order, const CallOutcome &outcome) {
+void WorkerAgent::onStopReply(const OrderPtr &order,
+                              const CallOutcome &outcome) {
   const RunKey key{order->Stop.Task, order->Stop.Run};
   recordWorkerClock(outcome.ClockMs);
   if (outcome.Status == CallStatus::Ok) {
@@ -246,16 +248,16 @@
     sendKeepAlive(0);
     return;
   }
-  if (outcome.Status == CallStatus::OtherLife ||
+  if (outcome.Status == CallStatus::OtherIncarnation ||
       outcome.Status == CallStatus::Refused ||
       order->Attempts >= MaxStopAttempts) {
     StopsInProgress.erase(key);
-    if (outcome.Status == CallStatus::OtherLife)
+    if (outcome.Status == CallStatus::OtherIncarnation)
       completeOrder(key, OrderOutcome::Gone, outcome.Detail);
     return;
   }
   Loop.runAfter(OrderRetryPause, [this, alive = Alive, order] {
-    if (*alive && order->Life == State.Life)
+    if (*alive && order->Incarnation == State.Life)
       stopTask(order);
   });
 }
--- a/src/libs/core/jobspec.h
+++ b/src/libs/core/jobspec.h
@@ -8,7 +8,7 @@
 
 namespace oriolebay::core {
 
-/// Resources that a task takes or that a worker has: thousandths of a core,
+/// Resources that a task needs or that a worker has: thousandths of a core,
 /// memory in MB, and number of accelerators.
 struct Resources {
   int64_t MilliCores = 0;
@@ -65,7 +65,7 @@
   int MaxPerWorker = 0;
   /// Several copies of a task may run at the same time; the first to finish
   /// counts.
-  bool Copies = false;
+  bool Speculative = false;
   /// The tasks run until the job is cancelled and are restarted whenever they
   /// end.
   bool LongRunning = false;
@@ -77,16 +77,16 @@
   int64_t TargetMs = 0;
   /// The tasks only use cores that other tasks leave idle, so their cores do
   /// not count against a worker's capacity.
-  bool FillsIdle = false;
+  bool UsesIdleCores = false;
   /// Maximum number of long-running tasks of the step that may be unavailable
   /// at the same time because the system stopped or moved them.
-  int MayMiss = 0;
+  int MaxUnavailable = 0;
 
-  /// Returns the resources that a task takes from a worker's capacity. Cores of
-  /// tasks that only use idle cores are not counted.
-  Resources room() const {
+  /// Returns the resources by which a task reduces a worker's free capacity.
+  /// Cores of tasks that only use idle cores are not counted.
+  Resources taskResources() const {
     Resources r = PerTask;
-    if (FillsIdle)
+    if (UsesIdleCores)
       r.MilliCores = 0;
     return r;
   }
@@ -115,7 +115,7 @@
   auto operator<=>(const JobSpec &) const = default;
 };
 
-/// Limits on one job, which keep a single call from filling the system.
+/// Limits on one job, so that a single call cannot overload the system.
 constexpr int MaxStepsPerJob = 64;
 constexpr int MaxTasksPerJob = 4096;
 constexpr size_t MaxPayloadBytes = 4000;
--- a/src/libs/entry/entryservice.cpp
+++ b/src/libs/entry/entryservice.cpp
@@ -19,6 +19,8 @@
 using utils::steadyNow;
 
 namespace {
+// Capacity of the inbox and of the queue of replies, as a multiple of the
+// maximum number of pending jobs.
 constexpr size_t InboxFactor = 8;
 constexpr int DispatchThreads = 4;
 constexpr int EntryCallTimeoutMs = 1000;
@@ -30,6 +32,8 @@
 // waits for the watcher, and costs one store call per second and entry when
 // nothing changes.
 constexpr long WatchPollMs = 1000;
+// Maximum time between two ticks of the scheduler. Also the polling period of a
+// graceful stop and the delay before the recorded runs are read again.
 const absl::Duration TickPeriod = absl::Milliseconds(20);
 const absl::Duration StatsPeriod = absl::Milliseconds(100);
 // The time between two updates of the counters is at least this many times the
@@ -180,10 +184,11 @@
     return ack;
   }
   const int64_t epoch = LeadingEpoch;
-  // During an outage of the store a leader that was replaced may not know it.
-  // Beyond this time limit it lets the leases of its agents expire. The next
-  // leader waits for the same time for workers that have not reported to it.
-  const bool leadConfirmed = steadyNow() - Election->confirmed() <
+  // During an outage of the store this leader may have been replaced without
+  // knowing it. If the store has not confirmed it for the configured time, it
+  // refuses messages, and the leases of its agents expire. The next leader
+  // waits for that time and a lease for workers that have not reported to it.
+  const bool leadConfirmed = steadyNow() - Election->confirmedAt() <
                              absl::Milliseconds(Settings.OutageHoldMs);
   if (epoch == 0 || !leadConfirmed || Stopping) {
     ack.Ok = false;
@@ -237,7 +242,7 @@
 
 void EntryService::onAnnounce(const endpoints::Announce &announce) {
   const std::string &id = announce.Worker.Id;
-  if (!Scheduler->state().workerKnown(id))
+  if (!Scheduler->state().isWorkerKnown(id))
     logEvent(Event::WorkerJoined, {{"worker", announce.Worker}});
   if (announce.Leaving)
     logEvent(Event::WorkerLeaving, {{"worker", id}});
@@ -329,7 +334,7 @@
   scheduler::Policy p;
   p.HeartbeatTimeout = absl::Milliseconds(Settings.HeartbeatTimeoutMs);
   p.TaskLease = absl::Milliseconds(Settings.TaskLeaseMs) + LeaseSlack;
-  p.StarveAfter = absl::Milliseconds(Settings.StarveAfterMs);
+  p.DrainWorkersAfter = absl::Milliseconds(Settings.StarveAfterMs);
   p.RetryAfterMs = Settings.RetryAfterMs;
   p.MaxAttempts = Settings.MaxAttempts;
   p.MaxPending = static_cast<size_t>(Settings.MaxPendingJobs);
@@ -352,7 +357,7 @@
 
 void EntryService::recordStart(const RecordStart &request) {
   const scheduler::StartGang &start = request.Start;
-  if (RunRecorder->start(request))
+  if (RunRecorder->recordStart(request))
     return;
   RunsBeingRecorded.erase(start.Run);
   Scheduler->onStartAborted(
@@ -479,9 +484,9 @@
     logEvent(Event::JobFinished, {{"job", answer.Request.Job.Id},
                                   {"outcome", answer.Answer.Result}});
   }
-  // The answer of a non-idempotent gang must always be kept. An idempotent gang
-  // for which no caller has asked yet can run again for the caller that asks
-  // for it.
+  // The answer of a non-idempotent gang must always be cached. An adopted
+  // idempotent gang that has not been submitted to this leader can run again if
+  // it is submitted later.
   if (!answer.Orphan || !answer.Request.Job.Idempotent)
     cacheAnswer(answer.Request.GangId, answer.Answer);
   sendAnswer(answer.Request.GangId, answer.Answer);
@@ -498,6 +503,8 @@
   }
 }
 
+// Sends the answer to the entry that submitted the gang last. Does nothing if
+// that entry is unknown or has been sent an answer already.
 void EntryService::sendAnswer(const std::string &gangId,
                               const JobAnswer &answer) {
   auto it = ReplyAddresses.find(gangId);
@@ -515,34 +522,34 @@
       absl::SleepFor(absl::Milliseconds(1));
 }
 
-void EntryService::perform(const scheduler::ForgetRun &forget) {
+void EntryService::perform(const scheduler::DeleteRunRecord &deletion) {
   // A run without a record may have been refused because another gang holds its
   // idempotency key. The record of that gang must not be overwritten.
-  if (RecordedRuns.erase(forget.Run) == 0)
+  if (RecordedRuns.erase(deletion.Run) == 0)
     return;
-  RecordEnd end{LeadingEpoch, forget.Run, std::nullopt, forget.Request.GangId,
-                std::nullopt};
-  auto it = RecentAnswers.find(forget.Request.GangId);
-  if (!forget.Request.Job.Idempotent && it != RecentAnswers.end() &&
+  DeleteRecord end{LeadingEpoch, deletion.Run, std::nullopt,
+                   deletion.Request.GangId, std::nullopt};
+  auto it = RecentAnswers.find(deletion.Request.GangId);
+  if (!deletion.Request.Job.Idempotent && it != RecentAnswers.end() &&
       it->second.Result != Outcome::NotRun) {
-    end.Job = forget.Request.Job;
+    end.Job = deletion.Request.Job;
     end.Answer = it->second;
   }
-  RunRecorder->end(std::move(end));
+  RunRecorder->recordEnd(std::move(end));
 }
 
-void EntryService::perform(const scheduler::Note &logReason) {
+void EntryService::perform(const scheduler::LogReason &logReason) {
   switch (logReason.What) {
-  case scheduler::Note::Kind::Stopping:
+  case scheduler::LogReason::Kind::Stopping:
     ++Stopped;
     logEvent(Event::GangStopping,
              {{"run", logReason.Subject}, {"why", logReason.Why}});
     return;
-  case scheduler::Note::Kind::Requeued:
+  case scheduler::LogReason::Kind::Requeued:
     logEvent(Event::GangRequeued,
              {{"gang", logReason.Subject}, {"why", logReason.Why}});
     return;
-  case scheduler::Note::Kind::WorkerQuarantined:
+  case scheduler::LogReason::Kind::WorkerQuarantined:
     logEvent(Event::WorkerKeptOut,
              {{"worker", logReason.Subject}, {"why", logReason.Why}});
     return;
@@ -567,6 +574,8 @@
   }
 }
 
+// Updates the counters for stats(), and removes the dispatcher's channels to
+// workers that are no longer known.
 void EntryService::publishStats() {
   if (!Scheduler) {
     WorkerCount = FreeAccelerators = PendingCount = RunningCount = 0;
@@ -582,7 +591,7 @@
       1, std::max(ReferenceWidth, Scheduler->widestPending()), 0};
   Fragmentation = placement::fragmentation(state.freeWorkers(), reference);
   GangDispatcher->retainChannels(
-      [&](const std::string &id) { return state.workerKnown(id); });
+      [&](const std::string &id) { return state.isWorkerKnown(id); });
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -26,11 +26,10 @@
 constexpr int LeaderAnswerTimeoutMs = 250;
 constexpr absl::Duration LeaderRetryDelay = absl::Seconds(1);
 /// Minimum time between two updates of an entry's view of the jobs and of the
-/// other entries, which adds to the age of that view beyond the delay of the
-/// watch itself. The ends of jobs, which callers must not see late, are
-/// requested from the leader, and entries that accept a new job notify the
-/// leader of it. The leader's own view is the fallback if such a message is
-/// lost.
+/// other entries. It adds to the delay of the watch. Callers do not see the end
+/// of a job late, because it is requested from the leader. The leader learns of
+/// a new job from the entry that accepted it, and from its own view if that
+/// message is lost.
 constexpr absl::Duration ViewUpdatePause = absl::Milliseconds(500);
 constexpr absl::Duration LeaderViewUpdatePause = absl::Milliseconds(100);
 /// Maximum number of entries that are listed for an agent in addition to the
@@ -55,7 +54,7 @@
                      {{"why", why}});
           },
           Observers.StoreCalled),
-      Calls(Health.watching(store)) {
+      StoreClient(Health.monitored(store)) {
   Peers.Serve([this, alive = Alive](const Message &m, const auto &respond) {
     const auto *call = std::get_if<endpoints::ForwardedCall>(&m);
     if (!*alive)
@@ -67,7 +66,7 @@
   });
   platform::FollowTiming follow;
   platform::FollowTiming pacedFollow;
-  pacedFollow.RestAfterNews = [this] {
+  pacedFollow.DelayAfterChanges = [this] {
     return Leader.Mine ? LeaderViewUpdatePause : ViewUpdatePause;
   };
   auto storeErrorLogger = [this](const char *what) {
@@ -76,9 +75,9 @@
     };
   };
   Config = std::make_unique<operators::ConfigFollower>(
-      Loop, Calls,
+      Loop, StoreClient,
       operators::ConfigSource{std::move(configKey), std::move(decodeConfig),
-                              Time.ConfirmEvery, follow},
+                              Time.ConfirmInterval, follow},
       [this](const std::shared_ptr<const core::SiteConfig> &c) { onConfig(c); },
       [](const utils::Error &e) {
         logEvent(Event::ConfigRefused, {{"error", e.text()}});
@@ -86,7 +85,7 @@
       [this](const core::ConfigStamp &newer) { onConfigOutdated(newer); },
       storeErrorLogger("configuration"));
   View = std::make_unique<jobs::JobView>(
-      Loop, Calls, pacedFollow,
+      Loop, StoreClient, pacedFollow,
       [this](const jobs::StoredJob &job) {
         if (Session)
           Session->onRecord(job);
@@ -95,7 +94,7 @@
         if (Session)
           Session->onRemoved(id);
         if (Service)
-          Service->forget(id);
+          Service->onRecordRemoved(id);
       },
       [this](const std::string &id) {
         if (Service)
@@ -106,13 +105,13 @@
         logEvent(Event::RecordRefused, {{"key", key}, {"error", e.text()}});
       },
       storeErrorLogger("jobs"));
-  jobs::DeskPolicy servicePolicy;
-  servicePolicy.OldestConfig = Time.OldestConfig;
-  servicePolicy.FreshView = Time.FreshConfig;
+  jobs::JobServicePolicy servicePolicy;
+  servicePolicy.MaxConfigAge = Time.MaxConfigAge;
+  servicePolicy.MaxViewAge = Time.MaxConfirmedConfigAge;
   Forwarder = std::make_unique<CallForwarder>(
       Loop, Peers, [this] { return otherEntries(); });
-  Service = std::make_unique<jobs::JobDesk>(
-      Loop, Calls, *View, *Config, servicePolicy,
+  Service = std::make_unique<jobs::JobService>(
+      Loop, StoreClient, *View, *Config, servicePolicy,
       [this] { return Health.failingSince(); },
       [this](const jobs::CallRequest &call, const jobs::OnForwarded &done) {
         return forward(call, done);
@@ -127,7 +126,7 @@
           Observers.Called(d);
       });
   Entries = std::make_unique<platform::PrefixFollower>(
-      Loop, Calls, EntryPrefix, pacedFollow,
+      Loop, StoreClient, EntryPrefix, pacedFollow,
       [this](const platform::StoreEvent &event) { onEntry(event); },
       [](int64_t) {}, storeErrorLogger("entries"));
   platform::ElectionOptions election;
@@ -135,13 +134,13 @@
   election.EntryPrefix = EntryPrefix;
   election.Name = Settings.Name;
   election.Entry = {Peers.Address, Settings.ProcessorShare};
-  election.LargerIsKnown = [this] {
+  election.IsLargerEntryKnown = [this] {
     return LargestProcessorShare > Settings.ProcessorShare;
   };
   election.LeaseTtl = Time.LeaderLease;
   election.Follow = follow;
   Election = std::make_unique<platform::Election>(
-      Loop, Calls, election,
+      Loop, StoreClient, election,
       [this](const platform::Leadership &l) { onLeadership(l); },
       storeErrorLogger("election"));
 }
@@ -163,7 +162,7 @@
     reason = "no configuration yet";
   else if (Config->age(Loop.now()) > Time.NotReadyAfter)
     reason = "the configuration has not been confirmed for too long";
-  else if (!View->complete())
+  else if (!View->isComplete())
     reason = "the jobs have not been read yet";
   if (reason != nullptr && why != nullptr)
     *why = reason;
@@ -174,14 +173,14 @@
   EntryStatus s;
   if (Config->current() != nullptr) {
     s.ConfigVersion = Config->current()->Version;
-    s.ConfigOutdated = Config->outdated();
+    s.ConfigOutdated = Config->isOutdated();
     s.ConfigAgeSeconds = absl::ToDoubleSeconds(Config->age(Loop.now()));
   }
   s.Leads = Session != nullptr && Session->isRunning();
   s.LeaderEpoch = Leader.Epoch;
   s.JobsKnown = View->jobs().size();
   if (s.Leads) {
-    s.ActiveJobs = Session->scheduler().activeJobs();
+    s.ActiveJobs = Session->scheduler().unfinishedJobCount();
     s.Workers = Session->scheduler().fleet().workers().size();
   }
   return s;
@@ -229,7 +228,7 @@
             {"revision", ownStamp.Revision},
             {"newer_version", newer.Version},
             {"newer_revision", newer.Revision},
-            {"config_age_ms", jobs::shownAgeMs(Config->age(Loop.now()))}});
+            {"config_age_ms", jobs::loggedAgeMs(Config->age(Loop.now()))}});
 }
 
 void JobEntry::logStoreError(const char *what, platform::StoreStatus status,
@@ -257,28 +256,29 @@
     return;
   }
   logEvent(Event::LeaderElected, {{"epoch", leadership.Epoch}});
-  DutyOptions options;
+  LeaderSessionOptions options;
   options.LeaderKey = JobLeaderKey;
   options.Address = Peers.Address;
   options.Grant = Time.Grant;
   options.GrantWithoutStore = Time.GrantWithoutStore;
   options.DoubtfulAfter = Time.LeaderLease;
-  options.Policy.Fleet.SuspectAfter = Time.SuspectAfter;
-  options.Policy.Fleet.LostAfter = Time.GrantOverAfter;
-  options.Policy.UnheardLostAfter =
-      Time.GrantWithoutStore + Time.GrantOverAfter;
+  options.Policy.Fleet.UnresponsiveAfter = Time.UnresponsiveAfter;
+  options.Policy.Fleet.LostAfter = Time.GrantExpiredAfter;
+  options.Policy.UnreportedLostAfter =
+      Time.GrantWithoutStore + Time.GrantExpiredAfter;
   options.Policy.RemoteFactor = Settings.Bounds.RemoteFactor;
   options.Policy.GangWait = absl::Milliseconds(Settings.Bounds.GangWaitMs);
-  options.Policy.Progress.Restore =
+  options.Policy.Progress.RestoreTime =
       absl::Milliseconds(Settings.Bounds.RestoreMs);
-  options.Policy.StopTakes = absl::Milliseconds(Settings.Bounds.StopGraceMs);
+  options.Policy.StopDuration = absl::Milliseconds(Settings.Bounds.StopGraceMs);
   options.Policy.ReclaimAfter = Time.ReclaimAfter;
-  options.Policy.KeepFinished =
+  // The setting is a minimum, so jobs are retained for a quarter longer.
+  options.Policy.FinishedJobRetention =
       absl::Milliseconds(Settings.Bounds.KeepFinishedMs) * 5 / 4;
   options.Policy.WallMs = [] { return absl::ToUnixMillis(utils::wallNow()); };
-  Session = std::make_unique<LeaderDuty>(
-      Loop, Calls, Peers, *View, options, leadership.Epoch,
-      [this] { return Election->confirmed(); },
+  Session = std::make_unique<LeaderSession>(
+      Loop, StoreClient, Peers, *View, options, leadership.Epoch,
+      [this] { return Election->confirmedAt(); },
       [this](const jobs::Decision &d) {
         logDecision(d);
         if (Observers.Decided)
@@ -287,12 +287,12 @@
       [this](platform::StoreStatus status, const std::string &why) {
         logStoreError("recorder", status, why);
       },
-      [this](const std::string &jobId) { Service->expectEnd(jobId); },
+      [this](const std::string &jobId) { Service->onEndPending(jobId); },
       [this](const jobs::ProgressWrite &write, int64_t revision) {
         // The watch reports the same record, but can be delayed for seconds
         // while the store drops its history. Until then the entry that has
         // recorded the end of a job would show the job as running.
-        View->learnProgress(write.JobId, write.Progress, revision);
+        View->applyWrittenProgress(write.JobId, write.Progress, revision);
       },
       [this] {
         logEvent(Event::LeaderLost, {{"why", "another entry leads"}});
@@ -328,6 +328,7 @@
   beginSession();
 }
 
+// Notifies the leader of a job record that this entry has written.
 void JobEntry::onJobWritten(const platform::KeyValue &item) {
   if (Leader.Epoch == 0 || Leader.Mine)
     return;
@@ -353,11 +354,11 @@
   return Forwarder->forward(
       jobs::toMessage(call, Loop.now()),
       [done](const std::optional<endpoints::ForwardedAnswer> &answer,
-             bool mayBeDone) {
+             bool possiblyExecuted) {
         if (answer)
-          done(jobs::toAnswer(*answer), mayBeDone);
+          done(jobs::toAnswer(*answer), possiblyExecuted);
         else
-          done(std::nullopt, mayBeDone);
+          done(std::nullopt, possiblyExecuted);
       });
 }
 
@@ -448,7 +449,7 @@
     return ack;
   }
   if (const auto *written = std::get_if<endpoints::JobWritten>(&message)) {
-    View->learn({written->Key, written->Value, 0, written->Revision, 0});
+    View->applyItem({written->Key, written->Value, 0, written->Revision, 0});
     return endpoints::Ack{};
   }
   if (const auto *stepDown = std::get_if<endpoints::StandDown>(&message))
--- a/src/libs/entry/jobentry.h
+++ b/src/libs/entry/jobentry.h
@@ -2,9 +2,9 @@
 
 #include "callforwarder.h"
 #include "endpoints/peers.h"
-#include "jobs/jobdesk.h"
+#include "jobs/jobservice.h"
 #include "jobs/jobview.h"
-#include "leaderduty.h"
+#include "leadersession.h"
 #include "operators/configfollower.h"
 #include "platform/election.h"
 #include "platform/storehealth.h"
@@ -42,10 +42,11 @@
   size_t Workers = 0;
 };
 
-/// An entry that serves lasting jobs. It keeps a view of the configuration and
-/// of the jobs, serves callers through its job service, takes part in the
-/// election, and runs a leader session while it leads. Everything runs on one
-/// event loop.
+/// An entry for jobs that are recorded in the store and outlive the call that
+/// submitted them; EntryService serves gangs whose callers wait for the answer.
+/// It follows the configuration and the jobs, serves callers through its job
+/// service, takes part in the election, and runs a leader session while it
+/// leads. Everything runs on one event loop.
 class JobEntry {
 public:
   JobEntry(utils::EventLoop &loop, const platform::Store &store,
@@ -58,7 +59,7 @@
   JobEntry &operator=(const JobEntry &) = delete;
 
   void start();
-  jobs::JobDesk &desk() { return *Service; }
+  jobs::JobService &jobService() { return *Service; }
   /// Whether this entry can serve callers now. If not, the reason is stored in
   /// why.
   bool ready(std::string *why = nullptr) const;
@@ -96,7 +97,7 @@
   const EntryObservers Observers;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   platform::StoreHealth Health;
-  const platform::Store Calls;
+  const platform::Store StoreClient;
   platform::Leadership Leader;
   /// After a call without an answer, the leader is not called again before this
   /// time.
@@ -104,17 +105,17 @@
   bool Stopping = false;
   /// Addresses of the registered entries, by their keys.
   std::map<std::string, std::string> EntryAddresses;
-  /// The largest processor share with which any entry has registered. It is
-  /// kept when the registration is removed, because all registrations expire
+  /// The largest processor share with which any entry has registered. It does
+  /// not decrease when registrations are removed, because all of them expire
   /// together in an outage of the store.
   double LargestProcessorShare = 0;
   std::unique_ptr<operators::ConfigFollower> Config;
   std::unique_ptr<jobs::JobView> View;
   std::unique_ptr<CallForwarder> Forwarder;
-  std::unique_ptr<jobs::JobDesk> Service;
+  std::unique_ptr<jobs::JobService> Service;
   std::unique_ptr<platform::PrefixFollower> Entries;
   std::unique_ptr<platform::Election> Election;
-  std::unique_ptr<LeaderDuty> Session;
+  std::unique_ptr<LeaderSession> Session;
   /// The view has been read completely since the election.
   bool ViewReadSinceElection = false;
 };
--- a/src/libs/entry/leaderduty.cpp
+++ b/src/libs/entry/leadersession.cpp
@@ -1,4 +1,4 @@
-#include "leaderduty.h"
+#include "leadersession.h"
 
 #include "utils/eventloop.h"
 
@@ -28,13 +28,13 @@
 
 } // namespace
 
-LeaderDuty::LeaderDuty(utils::EventLoop &loop, const platform::Store &store,
-                       const endpoints::Peers &peers, const jobs::JobView &view,
-                       DutyOptions options, int64_t epoch,
-                       ConfirmationTime confirmed, OnDecision onDecision,
-                       OnStoreError onStoreError, OnEnding onEnding,
-                       OnRecorded onRecorded, OnLeadershipLost onLeadershipLost)
-    : Loop(loop), Calls(store), Peers(peers), View(view),
+LeaderSession::LeaderSession(
+    utils::EventLoop &loop, const platform::Store &store,
+    const endpoints::Peers &peers, const jobs::JobView &view,
+    LeaderSessionOptions options, int64_t epoch, ConfirmationTime confirmed,
+    OnDecision onDecision, OnStoreError onStoreError, OnEnding onEnding,
+    OnRecorded onRecorded, OnLeadershipLost onLeadershipLost)
+    : Loop(loop), StoreClient(store), Peers(peers), View(view),
       Options(std::move(options)), Epoch(epoch),
       LastConfirmed(std::move(confirmed)),
       ReportDecision(std::move(onDecision)),
@@ -43,26 +43,27 @@
       ReportLeadershipLost(std::move(onLeadershipLost)),
       Scheduler(Options.Policy, epoch, loop.now()) {}
 
-LeaderDuty::~LeaderDuty() { *Alive = false; }
+LeaderSession::~LeaderSession() { *Alive = false; }
 
-void LeaderDuty::registerLeader(std::function<void()> onRegistered) {
-  Predecessors::Options options;
+void LeaderSession::registerLeader(std::function<void()> onRegistered) {
+  PreviousLeaders::Options options;
   options.LeaderKey = Options.LeaderKey;
   options.OwnTerm = {Epoch, Options.Address};
-  options.TimeLimit = Options.Policy.UnheardLostAfter;
-  Previous = std::make_unique<Predecessors>(
-      Loop, Calls, Peers, options,
+  options.TimeLimit = Options.Policy.UnreportedLostAfter;
+  Previous = std::make_unique<PreviousLeaders>(
+      Loop, StoreClient, Peers, options,
       [this, onRegistered = std::move(onRegistered)] {
         Registered = true;
         onRegistered();
       },
-      [this](absl::Time goneSince) {
-        Scheduler.onPredecessorsGone(goneSince);
+      [this](absl::Time endTime) {
+        Scheduler.onPreviousLeadersEnded(endTime);
       });
   Previous->start();
 }
 
-void LeaderDuty::begin(const std::shared_ptr<const core::SiteConfig> &config) {
+void LeaderSession::begin(
+    const std::shared_ptr<const core::SiteConfig> &config) {
   Running = true;
   const absl::Time now = Loop.now();
   Scheduler.onConfig(config);
@@ -77,7 +78,7 @@
   postPass();
 }
 
-void LeaderDuty::onConfig(
+void LeaderSession::onConfig(
     const std::shared_ptr<const core::SiteConfig> &config) {
   if (!Running)
     return;
@@ -85,20 +86,20 @@
   postPass();
 }
 
-void LeaderDuty::onRecord(const jobs::StoredJob &job) {
+void LeaderSession::onRecord(const jobs::StoredJob &job) {
   if (!Running)
     return;
   Scheduler.onRecord(job.Record, job.RecordRevision, Loop.now());
   postPass();
 }
 
-void LeaderDuty::onRemoved(const std::string &jobId) {
+void LeaderSession::onRemoved(const std::string &jobId) {
   if (Running)
     Scheduler.onRecordRemoved(jobId);
 }
 
 endpoints::ReportAck
-LeaderDuty::onReport(const endpoints::WorkerReport &report) {
+LeaderSession::onReport(const endpoints::WorkerReport &report) {
   endpoints::ReportAck ack;
   if (!Running)
     return ack;
@@ -106,9 +107,9 @@
   ack.Epoch = Epoch;
   ack.SeenUpto = Scheduler.onReport(report, now);
   ack.Speed = Scheduler.speedOf(report.Agent);
-  // Without the store this entry may have been replaced. It continues for a
-  // limited time; a new leader waits for that time for workers that it cannot
-  // reach.
+  // Without confirmation from the store this entry may have been replaced. It
+  // continues to grant for GrantWithoutStore. A new leader waits for that time
+  // and the last grant before it counts tasks on unreachable workers as lost.
   const absl::Duration unconfirmedFor = now - LastConfirmed();
   ack.Doubtful = unconfirmedFor > Options.DoubtfulAfter;
   if (report.Reachable && unconfirmedFor < Options.GrantWithoutStore)
@@ -117,7 +118,7 @@
   return ack;
 }
 
-void LeaderDuty::scheduleTick() {
+void LeaderSession::scheduleTick() {
   Loop.runAfter(Options.TickEvery, [this, alive = Alive] {
     if (!*alive)
       return;
@@ -130,7 +131,7 @@
 
 // Posts one pass for all inputs that arrive before it runs, so that they are
 // covered by one decision.
-void LeaderDuty::postPass() {
+void LeaderSession::postPass() {
   if (PassPosted)
     return;
   PassPosted = true;
@@ -140,34 +141,34 @@
   });
 }
 
-void LeaderDuty::decideIfDue() {
+void LeaderSession::decideIfDue() {
   const absl::Time began = Loop.now();
-  if (!Pacer.due(began))
+  if (!Pacer.isDue(began))
     return;
   Scheduler.decide(began);
-  Pacer.decided(began, Loop.now());
+  Pacer.recordDecision(began, Loop.now());
 }
 
 // Decides if a decision is due, and passes on what the scheduler produced.
-void LeaderDuty::runPass() {
+void LeaderSession::runPass() {
   PassPosted = false;
   decideIfDue();
   writeProgress();
   sendOrders();
-  for (const std::string &id : Scheduler.takeEnding())
+  for (const std::string &id : Scheduler.takeEndingJobs())
     ReportEnding(id);
   for (const jobs::Decision &decision : Scheduler.takeDecisions())
     ReportDecision(decision);
 }
 
-void LeaderDuty::sendOrders() {
+void LeaderSession::sendOrders() {
   // The scheduler sends orders again that were not answered in time.
   for (const auto &[address, orders] : Scheduler.takeOrders())
     Peers.Call(address, orders, Options.AgentTimeoutMs,
                [](const std::optional<endpoints::Message> &) {});
 }
 
-void LeaderDuty::writeProgress() {
+void LeaderSession::writeProgress() {
   if (Loop.now() < WritesPausedUntil)
     return;
   std::vector<ProgressWrite> batch;
@@ -180,7 +181,9 @@
     writeBatch(std::move(batch));
 }
 
-void LeaderDuty::writeBatch(std::vector<ProgressWrite> batch) {
+// Writes the progress of several jobs in one transaction, on condition that
+// this entry still leads and that no record in it has changed since.
+void LeaderSession::writeBatch(std::vector<ProgressWrite> batch) {
   platform::StoreTxn txn;
   txn.Expected.push_back({Options.LeaderKey, Epoch});
   for (const ProgressWrite &progressWrite : batch) {
@@ -191,27 +194,27 @@
     txn.Puts.push_back(
         {jobs::progressKey(progressWrite.JobId), progressWrite.Value, 0});
   }
-  Calls.Transact(std::move(txn),
-                 [this, alive = Alive, batch = std::move(batch)](
-                     const StoreReply<StoreTxnReply> &reply) {
-                   if (!*alive)
-                     return;
-                   if (reply.ok()) {
-                     onWritten(batch, reply.Value.Revision);
-                   } else if (reply.Status == StoreStatus::Conflict) {
-                     onConflict(batch, reply.Value.Current);
-                   } else {
-                     ReportStoreError(reply.Status, reply.Why);
-                     WritesPausedUntil = Loop.now() + Options.WriteRetryDelay;
-                     for (const ProgressWrite &progressWrite : batch)
-                       Scheduler.onNotWritten(progressWrite.JobId);
-                   }
-                   postPass();
-                 });
+  StoreClient.Transact(
+      std::move(txn), [this, alive = Alive, batch = std::move(batch)](
+                          const StoreReply<StoreTxnReply> &reply) {
+        if (!*alive)
+          return;
+        if (reply.ok()) {
+          onWritten(batch, reply.Value.Revision);
+        } else if (reply.Status == StoreStatus::Conflict) {
+          onConflict(batch, reply.Value.Current);
+        } else {
+          ReportStoreError(reply.Status, reply.Why);
+          WritesPausedUntil = Loop.now() + Options.WriteRetryDelay;
+          for (const ProgressWrite &progressWrite : batch)
+            Scheduler.onWriteFailed(progressWrite.JobId);
+        }
+        postPass();
+      });
 }
 
-void LeaderDuty::onWritten(const std::vector<ProgressWrite> &batch,
-                           int64_t revision) {
+void LeaderSession::onWritten(const std::vector<ProgressWrite> &batch,
+                              int64_t revision) {
   for (const ProgressWrite &progressWrite : batch) {
     Scheduler.onWritten(progressWrite.JobId, progressWrite.Progress.Version,
                         revision, Loop.now());
@@ -219,8 +222,8 @@
   }
 }
 
-void LeaderDuty::onConflict(const std::vector<ProgressWrite> &batch,
-                            const std::vector<KeyValue> &current) {
+void LeaderSession::onConflict(const std::vector<ProgressWrite> &batch,
+                               const std::vector<KeyValue> &current) {
   const KeyValue *leader = findItem(current, Options.LeaderKey);
   if (leader == nullptr || leader->ModRevision != Epoch) {
     ReportLeadershipLost();
@@ -230,11 +233,11 @@
     resolveConflict(progressWrite, current);
 }
 
-// Resolves the conflict for one job of a batch: it was cancelled, or its
-// earlier write took effect although the answer was lost. The other jobs of the
-// batch are written again.
-void LeaderDuty::resolveConflict(const ProgressWrite &progressWrite,
-                                 const std::vector<KeyValue> &current) {
+// Resolves the conflict for one job of a batch: its record was removed or
+// changed (a cancellation), or its earlier write took effect although the
+// answer was lost. Jobs that still exist are written again.
+void LeaderSession::resolveConflict(const ProgressWrite &progressWrite,
+                                    const std::vector<KeyValue> &current) {
   const KeyValue *spec = findItem(current, jobs::specKey(progressWrite.JobId));
   const KeyValue *progress =
       findItem(current, jobs::progressKey(progressWrite.JobId));
@@ -250,7 +253,7 @@
           Scheduler.onWritten(progressWrite.JobId, read.Version,
                               progress->ModRevision, Loop.now());
         }
-        Scheduler.onNotWritten(progressWrite.JobId);
+        Scheduler.onWriteFailed(progressWrite.JobId);
         if (spec->ModRevision != progressWrite.RecordRevision) {
           BOOST_LEAF_AUTO(record, jobs::decodeRecord(spec->Value));
           Scheduler.onRecord(record, spec->ModRevision, Loop.now());
@@ -259,17 +262,17 @@
       },
       [&](const utils::Error &e) {
         ReportStoreError(StoreStatus::Conflict, e.text());
-        Scheduler.onNotWritten(progressWrite.JobId);
+        Scheduler.onWriteFailed(progressWrite.JobId);
         return false;
       });
 }
 
 // Removes finished jobs from the store after callers have had time to read
 // their result.
-void LeaderDuty::removeExpiredJobs() {
+void LeaderSession::removeExpiredJobs() {
   if (RemovalPending)
     return;
-  std::vector<std::string> expired = Scheduler.takeExpired(Loop.now());
+  std::vector<std::string> expired = Scheduler.takeExpiredJobs(Loop.now());
   if (expired.empty())
     return;
   expired.resize(std::min(expired.size(), JobsPerTxn));
@@ -280,18 +283,19 @@
     txn.Removes.push_back(jobs::progressKey(id));
   }
   RemovalPending = true;
-  Calls.Transact(std::move(txn), [this, alive = Alive, expired](
-                                     const StoreReply<StoreTxnReply> &reply) {
-    if (!*alive)
-      return;
-    RemovalPending = false;
-    if (!reply.ok()) {
-      ReportStoreError(reply.Status, reply.Why);
-      return;
-    }
-    for (const std::string &id : expired)
-      Scheduler.onRecordRemoved(id);
-  });
+  StoreClient.Transact(
+      std::move(txn),
+      [this, alive = Alive, expired](const StoreReply<StoreTxnReply> &reply) {
+        if (!*alive)
+          return;
+        RemovalPending = false;
+        if (!reply.ok()) {
+          ReportStoreError(reply.Status, reply.Why);
+          return;
+        }
+        for (const std::string &id : expired)
+          Scheduler.onRecordRemoved(id);
+      });
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/predecessors.cpp
+++ b/src/libs/entry/previousleaders.cpp
@@ -1,4 +1,4 @@
-#include "predecessors.h"
+#include "previousleaders.h"
 
 #include "utils/eventloop.h"
 
@@ -13,17 +13,17 @@
 
 namespace {
 
-std::string encode(const std::vector<Reign> &terms) {
+std::string encode(const std::vector<LeaderTerm> &terms) {
   json list = json::array();
-  for (const Reign &r : terms)
-    list.push_back({r.Epoch, r.Address});
+  for (const LeaderTerm &term : terms)
+    list.push_back({term.Epoch, term.Address});
   return list.dump();
 }
 
 // Returns false if the list is unreadable. It must not count as empty then,
 // since the leaders in it may still keep tasks alive for the longest time that
 // a leader can continue. The caller reads it again later.
-bool decode(const std::string &value, std::vector<Reign> &terms) {
+bool decode(const std::string &value, std::vector<LeaderTerm> &terms) {
   const json list = json::parse(value, nullptr, false);
   if (!list.is_array())
     return false;
@@ -38,38 +38,40 @@
 
 } // namespace
 
-Predecessors::Predecessors(utils::EventLoop &loop, const platform::Store &store,
-                           const endpoints::Peers &peers, Options options,
-                           OnRegistered onRegistered, OnAllGone onAllGone)
-    : Loop(loop), Calls(store), Peers(peers), Params(std::move(options)),
+PreviousLeaders::PreviousLeaders(utils::EventLoop &loop,
+                                 const platform::Store &store,
+                                 const endpoints::Peers &peers, Options options,
+                                 OnRegistered onRegistered,
+                                 OnAllEnded onAllEnded)
+    : Loop(loop), StoreClient(store), Peers(peers), Params(std::move(options)),
       ReportRegistered(std::move(onRegistered)),
-      ReportAllGone(std::move(onAllGone)) {}
+      ReportAllEnded(std::move(onAllEnded)) {}
 
-Predecessors::~Predecessors() { *Alive = false; }
+PreviousLeaders::~PreviousLeaders() { *Alive = false; }
 
-void Predecessors::scheduleRead() {
+void PreviousLeaders::scheduleRead() {
   Loop.runAfter(Params.RetryDelay, [this, alive = Alive] {
     if (*alive)
       read();
   });
 }
 
-void Predecessors::read() {
-  Calls.Get(Params.Key,
-            [this, alive = Alive](
-                const platform::StoreReply<platform::KeyValue> &reply) {
-              if (*alive)
-                onRead(reply);
-            });
+void PreviousLeaders::read() {
+  StoreClient.Get(Params.Key,
+                  [this, alive = Alive](
+                      const platform::StoreReply<platform::KeyValue> &reply) {
+                    if (*alive)
+                      onRead(reply);
+                  });
 }
 
-void Predecessors::onRead(
+void PreviousLeaders::onRead(
     const platform::StoreReply<platform::KeyValue> &reply) {
   if (reply.Status == StoreStatus::NotFound) {
     registerTerm({}, 0);
     return;
   }
-  std::vector<Reign> previousTerms;
+  std::vector<LeaderTerm> previousTerms;
   if (!reply.ok() || !decode(reply.Value.Value, previousTerms)) {
     scheduleRead();
     return;
@@ -86,18 +88,21 @@
   // This entry is registered already: the answer to its own write was lost.
   PreviousTerms = std::move(previousTerms);
   Revision = reply.Value.ModRevision;
-  requestAllStepDowns();
+  completeRegistration();
 }
 
-void Predecessors::registerTerm(std::vector<Reign> previousTerms,
-                                int64_t revision) {
-  std::vector<Reign> all = previousTerms;
+// Adds this leader to the list, on condition that it still leads and that the
+// list has the given revision (zero: does not exist). After a failure the list
+// is read again.
+void PreviousLeaders::registerTerm(std::vector<LeaderTerm> previousTerms,
+                                   int64_t revision) {
+  std::vector<LeaderTerm> all = previousTerms;
   all.push_back(Params.OwnTerm);
   platform::StoreTxn txn;
   txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
   txn.Expected.push_back({Params.Key, revision});
   txn.Puts.push_back({Params.Key, encode(all), 0});
-  Calls.Transact(
+  StoreClient.Transact(
       std::move(txn),
       [this, alive = Alive, previousTerms = std::move(previousTerms)](
           const platform::StoreReply<platform::StoreTxnReply> &reply) {
@@ -109,25 +114,28 @@
         }
         PreviousTerms = previousTerms;
         Revision = reply.Value.Revision;
-        requestAllStepDowns();
+        completeRegistration();
       });
 }
 
-void Predecessors::requestAllStepDowns() {
+// Reports that this leader is registered, and asks the previous leaders to step
+// down. If there are none, that is reported at once.
+void PreviousLeaders::completeRegistration() {
   ReportRegistered();
   if (PreviousTerms.empty()) {
-    ReportAllGone(Loop.now());
+    ReportAllEnded(Loop.now());
     return;
   }
   Loop.runAfter(Params.TimeLimit, [this, alive = Alive] {
     if (*alive)
       onTimeLimit();
   });
-  for (const Reign &term : std::vector<Reign>(PreviousTerms))
+  for (const LeaderTerm &term : std::vector<LeaderTerm>(PreviousTerms))
     requestStepDown(term);
 }
 
-void Predecessors::requestStepDown(const Reign &term) {
+// Repeats the request until the leader confirms or the time limit has passed.
+void PreviousLeaders::requestStepDown(const LeaderTerm &term) {
   // This process has ended its own earlier terms already.
   if (term.Address == Params.OwnTerm.Address) {
     onSteppedDown(term);
@@ -152,7 +160,7 @@
              });
 }
 
-void Predecessors::onSteppedDown(const Reign &term) {
+void PreviousLeaders::onSteppedDown(const LeaderTerm &term) {
   if (PreviousTerms.empty())
     return;
   PreviousTerms.erase(
@@ -162,37 +170,39 @@
     onNoneLeft();
 }
 
-// The time limit is counted from this leader's registration, which is later
-// than its election.
-void Predecessors::onTimeLimit() {
+// The time limit counts from this leader's election. The timer starts at its
+// registration, which is later, so it never ends too early.
+void PreviousLeaders::onTimeLimit() {
   if (PreviousTerms.empty())
     return;
   PreviousTerms.clear();
   onNoneLeft();
 }
 
-void Predecessors::onNoneLeft() {
-  ReportAllGone(Loop.now());
+void PreviousLeaders::onNoneLeft() {
+  ReportAllEnded(Loop.now());
   removePreviousTerms();
 }
 
-void Predecessors::removePreviousTerms() {
+// Reduces the list in the store to this leader.
+void PreviousLeaders::removePreviousTerms() {
   platform::StoreTxn txn;
   txn.Expected.push_back({Params.LeaderKey, Params.OwnTerm.Epoch});
   txn.Expected.push_back({Params.Key, Revision});
   txn.Puts.push_back({Params.Key, encode({Params.OwnTerm}), 0});
   // A conflict means that another entry has written the list since, or that
   // this write took effect and its answer was lost.
-  Calls.Transact(std::move(txn),
-                 [this, alive = Alive](
-                     const platform::StoreReply<platform::StoreTxnReply> &r) {
-                   if (!*alive || r.ok() || r.Status == StoreStatus::Conflict)
-                     return;
-                   Loop.runAfter(Params.RetryDelay, [this, alive] {
-                     if (*alive)
-                       removePreviousTerms();
-                   });
-                 });
+  StoreClient.Transact(
+      std::move(txn),
+      [this,
+       alive = Alive](const platform::StoreReply<platform::StoreTxnReply> &r) {
+        if (!*alive || r.ok() || r.Status == StoreStatus::Conflict)
+          return;
+        Loop.runAfter(Params.RetryDelay, [this, alive] {
+          if (*alive)
+            removePreviousTerms();
+        });
+      });
 }
 
 } // namespace oriolebay::entry
--- a/src/libs/entry/recorder.cpp
+++ b/src/libs/entry/recorder.cpp
@@ -63,13 +63,13 @@
     Thread.join();
 }
 
-bool Recorder::start(RecordStart request) {
+bool Recorder::recordStart(RecordStart request) {
   return Requests.tryPush(std::move(request));
 }
 
-void Recorder::end(RecordEnd request) {
-  // If the end of a run were dropped, a later leader would adopt the run for
-  // nothing. Therefore wait until the queue has space; the thread empties it
+void Recorder::recordEnd(DeleteRecord request) {
+  // If the deletion were dropped, a later leader would adopt a run that has
+  // ended. Therefore wait until the queue has space; the thread empties it
   // continuously.
   Request item = std::move(request);
   while (!Requests.tryPush(item) && !StopRequested.HasBeenNotified())
@@ -85,7 +85,7 @@
     if (request && std::holds_alternative<RecordStart>(*request))
       writeStart(std::get<RecordStart>(*request));
     else if (request)
-      PendingEnds.push_back(std::get<RecordEnd>(std::move(*request)));
+      PendingEnds.push_back(std::get<DeleteRecord>(std::move(*request)));
     // Starts are written first, because callers wait for them.
     if (Requests.size() == 0)
       writeEnds();
@@ -93,6 +93,8 @@
   writeEnds();
 }
 
+// Writes one transaction. On a conflict, currentItems receives the items that
+// the conditions refer to.
 Recorder::WriteResult Recorder::write(const std::vector<Compare> &conditions,
                                       const std::vector<Write> &writes,
                                       std::vector<KeyValue> &currentItems) {
@@ -116,10 +118,12 @@
                       NotRunReason::StoreUnavailable, detail, RetryAfterMs);
 }
 
-// Determines why a conditional write was refused: another entry leads, another
-// gang holds the idempotency key, or an earlier write of this run took effect
-// although its reply was lost. Sets canRetry if the write can be retried, and
-// then keyRevision to the revision of the idempotency key that the retry must
+// Determines why a conditional write was refused: another entry leads, a
+// request with the idempotency key has been answered already (its answer is
+// returned), another gang holds the key, the record that was to be replaced no
+// longer exists, or an earlier write of this run took effect although its reply
+// was lost. In the last two cases the write can be retried: sets canRetry, and
+// keyRevision to the revision of the idempotency key that the retry must
 // expect.
 RecordOutcome
 Recorder::explainConflict(const RecordStart &request,
@@ -199,7 +203,7 @@
   if (steadyNow() >= StoreDownUntil)
     StoreDownUntil = steadyNow() + StoreDownTime;
   PendingEnds.push_back(
-      RecordEnd{request.Epoch, start.Run, std::nullopt, "", {}});
+      DeleteRecord{request.Epoch, start.Run, std::nullopt, "", {}});
   DeliverOutcome(
       {RecordOutcome::Kind::Refused, request,
        refusal(request, "the store did not confirm the start; nothing was "
@@ -209,7 +213,7 @@
 
 void Recorder::writeEnds() {
   while (!PendingEnds.empty() && steadyNow() >= StoreDownUntil) {
-    const RecordEnd &end = PendingEnds.front();
+    const DeleteRecord &end = PendingEnds.front();
     std::vector<Write> writes{{gangKey(end.Run), std::nullopt, 0}};
     if (end.Job && end.Answer)
       writes.push_back(
--- a/src/libs/jobs/jobrecord.h
+++ b/src/libs/jobs/jobrecord.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/jobspec.h"
-#include "endpoints/workerlife.h"
+#include "endpoints/workerincarnation.h"
 #include "utils/error.h"
 
 #include <compare>
@@ -49,7 +49,7 @@
   int64_t Run = 0;
   int Failed = 0;
   bool Done = false;
-  endpoints::WorkerLife Worker;
+  endpoints::WorkerIncarnation Worker;
   std::string Agent;
   std::string Saved;
   std::vector<std::string> CrashedAt = {};
@@ -78,7 +78,7 @@
 
 /// The state to report to callers: Cancelled as soon as the job is cancelled,
 /// unless it had ended before.
-JobState shownState(const JobRecord &record, const JobProgress *progress);
+JobState visibleStateOf(const JobRecord &record, const JobProgress *progress);
 
 /// Encode and decode the stored values as CBOR. Decoding fails with
 /// ErrorKind::BadMessage if bytes are not a valid value.
--- a/src/libs/jobs/jobscheduler_lives.cpp
+++ b/src/libs/jobs/jobscheduler_incarnations.cpp
@@ -14,13 +14,14 @@
 // seen to have arrived there may still be under way, and names only the
 // worker's id.
 bool JobScheduler::canStillStart(const TaskId &id, const Task &task,
-                                 const endpoints::LifeEnd &end,
-                                 const WorkerLife *next, absl::Time now) const {
-  if (next == nullptr || task.What == Phase::Recording)
+                                 const endpoints::IncarnationEnd &end,
+                                 const WorkerIncarnation *next,
+                                 absl::Time now) const {
+  if (next == nullptr || task.RunPhase == Phase::Recording)
     return false;
   if (!next->empty() && next->Id != end.Life.Id)
     return false;
-  if (now < task.MayStartUntil)
+  if (now < task.LateStartPossibleUntil)
     return true;
   // Workers that do not report their start time do not reuse ids.
   if (end.Life.BornMs == 0 && next->empty())
@@ -33,25 +34,29 @@
          pending.end();
 }
 
-// Orders the next incarnation with the same id to stop the run. Once it has
-// received that order it has either listed the run or will refuse it. Until
-// then the task is not started on any other worker.
+// Assigns the run to the next incarnation with the same id and orders that to
+// stop it. Once it has received the order it has either listed the run or will
+// refuse it. Until then the task is not started on any other worker. While next
+// is empty, the next incarnation is not known; the task then waits until an
+// incarnation reports, but for no longer than MaxOrderDelay after the first end
+// that was handled here. For a gang, the run is over for all members.
 void JobScheduler::resolveAtNextIncarnation(Job &job, const TaskId &id,
-                                            Task &task, const WorkerLife &next,
+                                            Task &task,
+                                            const WorkerIncarnation &next,
                                             absl::Time now) {
-  if (task.MayStartUntil == absl::InfinitePast())
-    task.MayStartUntil = now + endpoints::LateOrdersWithin;
-  const WorkerLife previous = task.Progress.Worker;
-  task.Progress.Worker = next.empty() ? previous.ofAnyBirth() : next;
+  if (task.LateStartPossibleUntil == absl::InfinitePast())
+    task.LateStartPossibleUntil = now + endpoints::MaxOrderDelay;
+  const WorkerIncarnation previous = task.Progress.Worker;
+  task.Progress.Worker = next.empty() ? previous.withoutStartTime() : next;
   if (next.empty())
-    UnreportedIncarnations[task.Progress.Worker] = {task.Progress.Agent,
-                                                    task.MayStartUntil};
+    UnreportedIncarnations[task.Progress.Worker] = {
+        task.Progress.Agent, task.LateStartPossibleUntil};
   else
-    Workers.occupy(next, {core::taskName(id), task.Progress.Run},
-                   job.specOf(id).room());
+    Workers.allocate(next, {core::taskName(id), task.Progress.Run},
+                     job.specOf(id).taskResources());
   job.Dirty = true;
-  task.What = Phase::Ordered;
-  task.StopAsked = false;
+  task.RunPhase = Phase::Ordered;
+  task.StopRequested = false;
   requestStop(id, task, "may begin in its worker's next life");
   if (job.specOf(id).Gang)
     handleGangMemberEnd(job, id, endpoints::RunEnd::Broken);
--- a/src/libs/jobs/jobscheduler_reports.cpp
+++ b/src/libs/jobs/jobscheduler_reports.cpp
@@ -19,24 +19,25 @@
 
 int64_t JobScheduler::onReport(const endpoints::WorkerReport &report,
                                absl::Time now) {
-  const WorkerLife &incarnation = report.Worker.Life;
+  const WorkerIncarnation &incarnation = report.Worker.Life;
   const WorkerView *known = Workers.find(incarnation);
-  const bool wasUsable = known != nullptr && Workers.usable(*known, now);
+  const bool wasUsable = known != nullptr && Workers.isUsable(*known, now);
   const core::Resources previousCapacity =
       known == nullptr ? core::Resources() : known->State.Capacity;
   // Reports may arrive out of order; an older one would undo a newer one.
   if (known != nullptr && report.Sequence <= known->Sequence)
     return known->SeenUpto;
-  if (Workers.isOvertaken(report))
+  if (Workers.isOutdated(report))
     return 0;
-  for (const endpoints::LifeEnd &end : Workers.heard(report, now)) {
+  for (const endpoints::IncarnationEnd &end :
+       Workers.applyReport(report, now)) {
     if (end.Crashed)
       LastCrashes[report.Agent] = now;
     handleIncarnationEnd(end, "the worker's process has ended", &incarnation,
                          now);
   }
   endReplacedIncarnations(report, now);
-  Speeds.recall(report.Agent, report.Speed);
+  Speeds.importSpeed(report.Agent, report.Speed);
   if (incarnation.empty())
     return 0;
   if (known == nullptr)
@@ -53,7 +54,7 @@
     handleOrderResult(incarnation, result, now);
   // Most reports only update the progress of runs. A scheduling pass after each
   // of them used up all of the leader's time on a site of hundreds of workers.
-  PassNeeded |= wasUsable != Workers.usable(*worker, now) ||
+  PassNeeded |= wasUsable != Workers.isUsable(*worker, now) ||
                 previousCapacity != worker->State.Capacity;
   return worker->SeenUpto;
 }
@@ -63,12 +64,12 @@
 // names another incarnation.
 void JobScheduler::endReplacedIncarnations(
     const endpoints::WorkerReport &report, absl::Time now) {
-  std::vector<endpoints::LifeEnd> endedIncarnations;
+  std::vector<endpoints::IncarnationEnd> endedIncarnations;
   for (const auto &[incarnation, unreported] : UnreportedIncarnations)
     if (unreported.Agent == report.Agent)
-      if (const auto end = endOf(report, incarnation))
+      if (const auto end = findIncarnationEnd(report, incarnation))
         endedIncarnations.push_back(*end);
-  for (const endpoints::LifeEnd &end : endedIncarnations) {
+  for (const endpoints::IncarnationEnd &end : endedIncarnations) {
     UnreportedIncarnations.erase(end.Life);
     handleIncarnationEnd(end, "the worker's process has ended",
                          &report.Worker.Life, now);
@@ -77,27 +78,27 @@
 
 // Runs that are recorded for the incarnation occupy resources of the worker
 // from its first report on.
-void JobScheduler::registerIncarnation(const WorkerLife &incarnation) {
+void JobScheduler::registerIncarnation(const WorkerIncarnation &incarnation) {
   UnreportedIncarnations.erase(incarnation);
   for (auto &entry : Jobs) {
     Job &job = entry.second;
     forEachTask(job, [&](const TaskId &id, Task &task) {
       if (task.Progress.Worker == incarnation)
-        Workers.occupy(incarnation, {core::taskName(id), task.Progress.Run},
-                       job.specOf(id).room());
+        Workers.allocate(incarnation, {core::taskName(id), task.Progress.Run},
+                         job.specOf(id).taskResources());
     });
   }
-  note(Decision::Kind::WorkerJoined, "", "", 0, incarnation.Id);
+  logDecision(Decision::Kind::WorkerJoined, "", "", 0, incarnation.Id);
 }
 
-void JobScheduler::handleIncarnationEnd(const endpoints::LifeEnd &end,
+void JobScheduler::handleIncarnationEnd(const endpoints::IncarnationEnd &end,
                                         const std::string &why,
-                                        const WorkerLife *next,
+                                        const WorkerIncarnation *next,
                                         absl::Time now) {
-  const WorkerLife &incarnation = end.Life;
-  note(Decision::Kind::WorkerLost, "", "", 0, incarnation.Id, why,
-       {{"elected_ms_ago", absl::ToInt64Milliseconds(now - ElectedAt)},
-        {"crashed", end.Crashed ? 1 : 0}});
+  const WorkerIncarnation &incarnation = end.Life;
+  logDecision(Decision::Kind::WorkerLost, "", "", 0, incarnation.Id, why,
+              {{"elected_ms_ago", absl::ToInt64Milliseconds(now - ElectedAt)},
+               {"crashed", end.Crashed ? 1 : 0}});
   const std::set<RunId> crashCandidates(end.JustBegun.begin(),
                                         end.JustBegun.end());
   for (auto &entry : Jobs) {
@@ -131,8 +132,8 @@
       endpoints::WorkerOrders &orders = Orders[report.AgentAddress];
       orders.Life = report.Worker.Life;
       orders.Stops.push_back({running.Task, running.Run});
-      note(Decision::Kind::Stopping, id.Job, running.Task, running.Run,
-           report.Worker.Life.Id, "no record of this run");
+      logDecision(Decision::Kind::Stopping, id.Job, running.Task, running.Run,
+                  report.Worker.Life.Id, "no record of this run");
       continue;
     }
     if (!running.Saved.empty())
@@ -141,18 +142,18 @@
     task->ListedByWorker = true;
     task->CountCrashIfAbsent = false;
     if (report.Reachable) {
-      task->PercentAt = now - absl::Milliseconds(report.ListedMsAgo);
-      trackProgress(id, *task, task->PercentAt);
+      task->PercentReportedAt = now - absl::Milliseconds(report.ListedMsAgo);
+      trackProgress(id, *task, task->PercentReportedAt);
       compareSpeedByProgress(id, *task);
     }
-    if (task->What != Phase::Running) {
-      if (task->Began == absl::InfinitePast()) {
-        task->Began = now;
-        task->StartObserved = task->What == Phase::Ordered;
-        note(Decision::Kind::Started, id.Job, running.Task, running.Run,
-             report.Worker.Life.Id);
+    if (task->RunPhase != Phase::Running) {
+      if (task->StartedAt == absl::InfinitePast()) {
+        task->StartedAt = now;
+        task->StartObserved = task->RunPhase == Phase::Ordered;
+        logDecision(Decision::Kind::Started, id.Job, running.Task, running.Run,
+                    report.Worker.Life.Id);
       }
-      task->What = Phase::Running;
+      task->RunPhase = Phase::Running;
     }
     clearSuspectIfOutlived(Jobs.at(id.Job), id, *task);
   }
@@ -170,7 +171,7 @@
     Job &job = entry.second;
     bool anyChanged = false;
     forEachTask(job, [&](const TaskId &id, Task &task) {
-      if (task.What != Phase::Adopted ||
+      if (task.RunPhase != Phase::Adopted ||
           task.Progress.Worker != report.Worker.Life ||
           listed.count({core::taskName(id), task.Progress.Run}) != 0)
         return;
@@ -182,12 +183,15 @@
   }
 }
 
-void JobScheduler::handleTaskEnd(const WorkerLife &incarnation,
+// Handles an end that a worker lists. It counts if it is the end of the latest
+// run, or if an earlier run has completed the task. Other ends are only
+// acknowledged.
+void JobScheduler::handleTaskEnd(const WorkerIncarnation &incarnation,
                                  const endpoints::EndedTask &end,
                                  absl::Time now) {
-  if (!Workers.endListed(incarnation, end.Number))
+  if (!Workers.registerEnd(incarnation, end.Number))
     return;
-  Workers.vacate(incarnation, {end.Task, end.Run});
+  Workers.release(incarnation, {end.Task, end.Run});
   PassNeeded = true;
   TaskId id;
   Task *task = core::parseTaskName(end.Task, id) ? findTask(id) : nullptr;
@@ -197,14 +201,15 @@
   const bool isCounted = task != nullptr && !task->Progress.Done &&
                          end.Run <= task->Progress.Run &&
                          (isLatest || end.How == RunEnd::Done);
-  note(Decision::Kind::Ended, id.Job, end.Task, end.Run, incarnation.Id,
-       endpoints::runEndName(end.How),
-       {{"number", end.Number},
-        {"counts", isCounted ? 1 : 0},
-        {"failed_before", task == nullptr ? 0 : task->Progress.Failed},
-        {"attempts", task == nullptr ? 0 : Jobs.at(id.Job).Record.Attempts}});
+  logDecision(
+      Decision::Kind::Ended, id.Job, end.Task, end.Run, incarnation.Id,
+      endpoints::runEndName(end.How),
+      {{"number", end.Number},
+       {"counts", isCounted ? 1 : 0},
+       {"failed_before", task == nullptr ? 0 : task->Progress.Failed},
+       {"attempts", task == nullptr ? 0 : Jobs.at(id.Job).Record.Attempts}});
   if (task == nullptr) {
-    Workers.endRecorded(incarnation, end.Number);
+    Workers.markEndRecorded(incarnation, end.Number);
     return;
   }
   Job &job = Jobs.at(id.Job);
@@ -223,11 +228,12 @@
 // Acknowledges the end of a run once all its consequences are in the store,
 // because the worker forgets acknowledged ends. If the task was already done by
 // the end of another run, that end may not be recorded yet either.
-void JobScheduler::acknowledgeEnd(Job &job, const WorkerLife &incarnation,
+void JobScheduler::acknowledgeEnd(Job &job,
+                                  const WorkerIncarnation &incarnation,
                                   int64_t number) {
   const int64_t version = job.Dirty ? job.Version + 1 : job.Version;
   if (version <= job.WrittenVersion)
-    Workers.endRecorded(incarnation, number);
+    Workers.markEndRecorded(incarnation, number);
   else
     job.PendingEndAcks.push_back({version, incarnation, number});
 }
@@ -237,8 +243,8 @@
   Progress.forget({core::taskName(id), task.Progress.Run});
   task.Progress.Worker = {};
   task.Progress.Agent.clear();
-  task.What = Phase::Idle;
-  task.StopAsked = false;
+  task.RunPhase = Phase::Idle;
+  task.StopRequested = false;
   job.Dirty = true;
 }
 
@@ -248,15 +254,16 @@
 void JobScheduler::learnTaskDuration(const Job &job, const TaskId &id,
                                      Task &task, absl::Time now) {
   const core::StepSpec &spec = job.specOf(id);
-  if (task.Began == absl::InfinitePast() || !task.StartObserved ||
+  if (task.StartedAt == absl::InfinitePast() || !task.StartObserved ||
       !task.Progress.Saved.empty() || spec.LongRunning)
     return;
-  task.Took = now - task.Began;
-  if (isAway(job, id, task))
+  task.RunDuration = now - task.StartedAt;
+  if (isRemote(job, id, task))
     return;
-  compareSpeed(job, id, task, task.Took);
-  Estimates.ended(job.Record.Spec.Queue, absl::Milliseconds(spec.EstimateMs),
-                  task.Took / slownessOf(task.Progress.Worker));
+  compareSpeed(job, id, task, task.RunDuration);
+  Estimates.recordTaskDuration(
+      job.Record.Spec.Queue, absl::Milliseconds(spec.EstimateMs),
+      task.RunDuration / slownessOf(task.Progress.Worker));
 }
 
 // Estimates the worker's speed from the progress of a run long before its end.
@@ -267,10 +274,11 @@
       !task.StartObserved || !task.Progress.Saved.empty())
     return;
   const Job &job = Jobs.at(id.Job);
-  if (job.specOf(id).LongRunning || isAway(job, id, task))
+  if (job.specOf(id).LongRunning || isRemote(job, id, task))
     return;
   compareSpeed(job, id, task,
-               (task.PercentAt - task.Began) * (100 / (task.Percent + 0.5)));
+               (task.PercentReportedAt - task.StartedAt) *
+                   (100 / (task.Percent + 0.5)));
 }
 
 // Compares each run once. Members of a gang are left out: they wait for each
@@ -281,12 +289,13 @@
   if (task.SpeedCompared || worker == nullptr || job.specOf(id).Gang)
     return;
   task.SpeedCompared = true;
-  Speeds.took(stepName(id), worker->Agent, runDuration);
+  Speeds.recordRunDuration(stepName(id), worker->Agent, runDuration);
 }
 
 void JobScheduler::handleRunEnd(Job &job, const TaskId &id, Task &task,
                                 RunEnd how, const std::string &saved,
-                                const WorkerLife &incarnation, absl::Time now) {
+                                const WorkerIncarnation &incarnation,
+                                absl::Time now) {
   const core::StepSpec &spec = job.specOf(id);
   if (how == RunEnd::Done && task.Progress.Worker == incarnation)
     learnTaskDuration(job, id, task, now);
@@ -301,9 +310,9 @@
   if (how == RunEnd::Failed)
     task.FailedOn.insert(incarnation);
   if ((how == RunEnd::Done || how == RunEnd::Failed) &&
-      Workers.recordEnd(incarnation, how == RunEnd::Done, now))
-    note(Decision::Kind::WorkerKeptOut, id.Job, core::taskName(id),
-         task.Progress.Run, incarnation.Id, "failed runs in a row");
+      Workers.recordRunOutcome(incarnation, how == RunEnd::Done, now))
+    logDecision(Decision::Kind::WorkerQuarantined, id.Job, core::taskName(id),
+                task.Progress.Run, incarnation.Id, "failed runs in a row");
   if (spec.Gang) {
     handleGangMemberEnd(job, id, how);
     return;
@@ -317,7 +326,7 @@
 // Applies the end of one member to the whole gang: if it is done, all members
 // are done; with any other end the run is over for all of them.
 void JobScheduler::handleGangMemberEnd(Job &job, const TaskId &id, RunEnd how) {
-  std::vector<Step> &steps = occurrence(job, id.Occurrence);
+  std::vector<Step> &steps = ensureOccurrence(job, id.Occurrence);
   Step &step = steps[static_cast<size_t>(id.Step)];
   const int64_t run = step[static_cast<size_t>(id.Index)].Progress.Run;
   for (size_t i = 0; i < step.size(); ++i) {
@@ -328,19 +337,23 @@
       member.Progress.Done = true;
     else if (how == RunEnd::Failed)
       ++member.Progress.Failed;
-    if (member.mayRun() && !member.Progress.Done)
+    if (member.isAssigned() && !member.Progress.Done)
       requestStop({id.Job, id.Occurrence, id.Step, static_cast<int>(i)}, member,
                   "another member of its gang ended");
   }
 }
 
+// Handles a run that certainly is not running and cannot start any more, and
+// whose end is not known: releases its resources and unassigns the task, which
+// can then be started again. For a gang, the run is over for all members.
 void JobScheduler::handleAbsentRun(Job &job, const TaskId &id, Task &task,
                                    const std::string &why) {
   if (std::exchange(task.CountCrashIfAbsent, false))
     recordCrash(job, id, task);
-  note(Decision::Kind::Settled, id.Job, core::taskName(id), task.Progress.Run,
-       task.Progress.Worker.Id, why);
-  Workers.vacate(task.Progress.Worker, {core::taskName(id), task.Progress.Run});
+  logDecision(Decision::Kind::RunResolved, id.Job, core::taskName(id),
+              task.Progress.Run, task.Progress.Worker.Id, why);
+  Workers.release(task.Progress.Worker,
+                  {core::taskName(id), task.Progress.Run});
   PassNeeded = true;
   unassign(job, id, task);
   if (job.specOf(id).Gang)
@@ -349,14 +362,15 @@
 
 void JobScheduler::requestStop(const TaskId &id, Task &task,
                                const std::string &why) {
-  if (task.StopAsked || !task.mayRun())
+  if (task.StopRequested || !task.isAssigned())
     return;
-  task.StopAsked = true;
-  note(Decision::Kind::Stopping, id.Job, core::taskName(id), task.Progress.Run,
-       task.Progress.Worker.Id, why);
+  task.StopRequested = true;
+  logDecision(Decision::Kind::Stopping, id.Job, core::taskName(id),
+              task.Progress.Run, task.Progress.Worker.Id, why);
   // A start that is not recorded yet has not been ordered. It is dropped when
-  // its write is confirmed.
-  if (task.What != Phase::Recording)
+  // its write is confirmed. Any other stop counts as last sent in the infinite
+  // past, as the current time is not known here: the next tick repeats it.
+  if (task.RunPhase != Phase::Recording)
     orderStop(id, task, absl::InfinitePast());
 }
 
@@ -368,23 +382,24 @@
                 tasks[i], why);
 }
 
-void JobScheduler::handleOrderResult(const WorkerLife &incarnation,
+void JobScheduler::handleOrderResult(const WorkerIncarnation &incarnation,
                                      const endpoints::OrderResult &result,
                                      absl::Time now) {
   TaskId id;
   Task *task = core::parseTaskName(result.Task, id) ? findTask(id) : nullptr;
   if (task == nullptr || task->Progress.Run != result.Run ||
-      task->Progress.Worker != incarnation || task->What == Phase::Recording)
+      task->Progress.Worker != incarnation ||
+      task->RunPhase == Phase::Recording)
     return;
   Job &job = Jobs.at(id.Job);
   switch (result.Outcome) {
   case OrderOutcome::Started:
-    if (task->What != Phase::Running) {
-      task->What = Phase::Running;
-      task->Began = now;
+    if (task->RunPhase != Phase::Running) {
+      task->RunPhase = Phase::Running;
+      task->StartedAt = now;
       task->StartObserved = true;
-      note(Decision::Kind::Started, id.Job, result.Task, result.Run,
-           incarnation.Id);
+      logDecision(Decision::Kind::Started, id.Job, result.Task, result.Run,
+                  incarnation.Id);
     }
     return;
   case OrderOutcome::Unconfirmed:
@@ -395,13 +410,13 @@
     // it from the store.
     return;
   case OrderOutcome::Busy:
-    if (Workers.recordEnd(incarnation, false, now))
-      note(Decision::Kind::WorkerKeptOut, id.Job, result.Task, result.Run,
-           incarnation.Id, "refuses starts");
+    if (Workers.recordRunOutcome(incarnation, false, now))
+      logDecision(Decision::Kind::WorkerQuarantined, id.Job, result.Task,
+                  result.Run, incarnation.Id, "refuses starts");
     task->FailedOn.insert(incarnation);
     break;
   case OrderOutcome::Refused:
-  case OrderOutcome::NoRoom:
+  case OrderOutcome::NoCapacity:
   case OrderOutcome::Gone:
   case OrderOutcome::Absent:
     break;
@@ -409,11 +424,12 @@
   // Ignores a late refusal and the refusal of a repeated order. A run that was
   // seen running and is now absent has certainly ended, even if the worker does
   // not list its end.
-  if (task->What == Phase::Running && result.Outcome != OrderOutcome::Gone &&
+  if (task->RunPhase == Phase::Running &&
+      result.Outcome != OrderOutcome::Gone &&
       result.Outcome != OrderOutcome::Absent)
     return;
-  note(Decision::Kind::StartRefused, id.Job, result.Task, result.Run,
-       incarnation.Id, result.Detail);
+  logDecision(Decision::Kind::StartRefused, id.Job, result.Task, result.Run,
+              incarnation.Id, result.Detail);
   handleAbsentRun(job, id, *task, result.Detail);
   checkJobEnd(job, now);
 }
--- a/src/libs/jobs/runjudge.cpp
+++ b/src/libs/jobs/runmonitor.cpp
@@ -1,4 +1,4 @@
-#include "runjudge.h"
+#include "runmonitor.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -23,9 +23,9 @@
 
 } // namespace
 
-void RunJudge::judge() {
+void RunMonitor::checkRuns() {
   for (auto &[jobId, job] : Scheduler.Jobs) {
-    if (job.over())
+    if (job.hasEnded())
       continue;
     for (auto &[number, steps] : job.Occurrences)
       for (size_t s = 0; s < steps.size(); ++s)
@@ -33,21 +33,21 @@
   }
 }
 
-void RunJudge::checkStep(Job &job, const TaskId &first) {
+void RunMonitor::checkStep(Job &job, const TaskId &first) {
   PeerTimes peers;
   TaskId id = first;
   Step &step = job.stepOf(id);
   for (size_t i = 0; i < step.size(); ++i) {
     id.Index = static_cast<int>(i);
     Task &task = step[i];
-    if (task.What == JobScheduler::Phase::Running && !task.StopAsked &&
+    if (task.RunPhase == JobScheduler::Phase::Running && !task.StopRequested &&
         !task.Progress.Done)
       checkRun(job, id, task, peers);
   }
 }
 
-void RunJudge::checkRun(Job &job, const TaskId &id, Task &task,
-                        PeerTimes &peers) {
+void RunMonitor::checkRun(Job &job, const TaskId &id, Task &task,
+                          PeerTimes &peers) {
   if (mustEvacuate(job, id, task)) {
     evacuate(job, id, task);
   } else if (isRunStalled(job, id, task)) {
@@ -58,12 +58,12 @@
   }
 }
 
-absl::Duration RunJudge::remainingTime(const Job &job, const TaskId &id,
-                                       const Task &task) const {
+absl::Duration RunMonitor::remainingTime(const Job &job, const TaskId &id,
+                                         const Task &task) const {
   const core::StepSpec &spec = job.specOf(id);
   if (spec.LongRunning)
     return absl::InfiniteDuration();
-  absl::Duration total = Scheduler.Estimates.expected(
+  absl::Duration total = Scheduler.Estimates.expectedDuration(
       job.Record.Spec.Queue, absl::Milliseconds(spec.EstimateMs));
   if (const auto bounds = Scheduler.Progress.durationBounds(
           {core::taskName(id), task.Progress.Run}))
@@ -72,39 +72,40 @@
   // that was about to end was stopped for an urgent job, because its remaining
   // time did not decrease between two reports.
   const absl::Duration sinceReport =
-      std::min(Now - task.PercentAt, MaxExtrapolation);
+      std::min(Now - task.PercentReportedAt, MaxExtrapolation);
   return std::max(total * (100 - task.Percent) / 100 - sinceReport,
                   MinRemaining);
 }
 
 // Members of a gang wait for each other, so a single stalled member stalls all
 // of them, and all are stalled until every member has started. Only a member
-// whose progress is behind that of another one is the cause.
-bool RunJudge::isBehindGang(const Step &step, const Task &task) {
+// that is more than one percent behind another one is the cause.
+bool RunMonitor::isBehindGang(const Step &step, const Task &task) {
   return std::any_of(step.begin(), step.end(), [&](const Task &other) {
-    return other.mayRun() && other.Percent > task.Percent + 1;
+    return other.isAssigned() && other.Percent > task.Percent + 1;
   });
 }
 
 // Whether a run is stalled and better restarted elsewhere, because no other run
-// on its worker makes progress either.
-bool RunJudge::isRunStalled(const Job &job, const TaskId &id,
-                            const Task &task) const {
+// on its worker makes progress either. A member of a gang must also be behind
+// another member, or have had the time to wait for the others and to stall.
+bool RunMonitor::isRunStalled(const Job &job, const TaskId &id,
+                              const Task &task) const {
   if (!Scheduler.Progress.isStalled({core::taskName(id), task.Progress.Run}) ||
       Scheduler.Progress.isWorkerProgressing(task.Progress.Worker, Now))
     return false;
   const Step &step = job.stepOf(id);
   const bool gang = job.specOf(id).Gang && step.size() > 1;
   return !gang || isBehindGang(step, task) ||
-         Now - task.Began >
+         Now - task.StartedAt >
              Scheduler.Policy.GangWait + Scheduler.Policy.Progress.StalledAfter;
 }
 
 // Collects the durations of all tasks of the step that are known. Done once per
 // step, because collecting them for each task takes quadratic time in the
 // number of tasks of a wide step.
-void RunJudge::collectPeerTimes(const Job &job, const TaskId &first,
-                                PeerTimes &peers) const {
+void RunMonitor::collectPeerTimes(const Job &job, const TaskId &first,
+                                  PeerTimes &peers) const {
   peers.Collected = true;
   const Step &step = job.stepOf(first);
   TaskId id = first;
@@ -112,9 +113,9 @@
     const Task &task = step[i];
     id.Index = static_cast<int>(i);
     absl::Duration duration = absl::InfiniteDuration();
-    if (task.Took > absl::ZeroDuration())
-      duration = task.Took;
-    else if (task.What == JobScheduler::Phase::Running)
+    if (task.RunDuration > absl::ZeroDuration())
+      duration = task.RunDuration;
+    else if (task.RunPhase == JobScheduler::Phase::Running)
       if (const auto bounds = Scheduler.Progress.durationBounds(
               {core::taskName(id), task.Progress.Run}))
         duration = bounds->AtMost;
@@ -127,9 +128,9 @@
 
 // Normal duration of a task: the median of the other tasks of the same step.
 // Returns nothing if none of them has progressed far enough.
-std::optional<absl::Duration> RunJudge::medianPeerTime(const Job &job,
-                                                       const TaskId &id,
-                                                       PeerTimes &peers) const {
+std::optional<absl::Duration>
+RunMonitor::medianPeerTime(const Job &job, const TaskId &id,
+                           PeerTimes &peers) const {
   if (!peers.Collected)
     collectPeerTimes(job, id, peers);
   const std::vector<absl::Duration> &all = peers.Sorted;
@@ -146,19 +147,20 @@
 
 // Whether a run is so slow that restarting it on a sound worker would complete
 // the task sooner.
-bool RunJudge::isRunTooSlow(const Job &job, const TaskId &id, const Task &task,
-                            PeerTimes &peers) const {
-  if (task.Moves >= Scheduler.Policy.MostMoves)
+bool RunMonitor::isRunTooSlow(const Job &job, const TaskId &id,
+                              const Task &task, PeerTimes &peers) const {
+  if (task.Moves >= Scheduler.Policy.MaxMoves)
     return false;
   const auto bounds = Scheduler.Progress.durationBounds(
       {core::taskName(id), task.Progress.Run});
-  if (!bounds || Scheduler.isAway(job, id, task))
+  if (!bounds || Scheduler.isRemote(job, id, task))
     return false;
   const absl::Duration duration = bounds->AtLeast;
   const core::StepSpec &spec = job.specOf(id);
   const absl::Duration estimate = absl::Milliseconds(spec.EstimateMs);
   const std::string &queue = job.Record.Spec.Queue;
-  absl::Duration normalTime = Scheduler.Estimates.expected(queue, estimate);
+  absl::Duration normalTime =
+      Scheduler.Estimates.expectedDuration(queue, estimate);
   bool slow = false;
   if (const auto medianTime = medianPeerTime(job, id, peers)) {
     slow = duration > *medianTime * Scheduler.Policy.Progress.SlowFactor;
@@ -170,7 +172,7 @@
   const double shareLeft = (100 - task.Percent) / 100.0;
   const absl::Duration restartTime =
       spec.Checkpoints
-          ? normalTime * shareLeft + Scheduler.Policy.Progress.Restore
+          ? normalTime * shareLeft + Scheduler.Policy.Progress.RestoreTime
           : normalTime;
   return slow && duration * shareLeft > restartTime + Scheduler.Policy.MoveCost;
 }
@@ -182,48 +184,50 @@
 // time are therefore stopped before: those that write a checkpoint as late as
 // possible, as they lose nothing, the others at once, because all their work
 // would be lost anyway.
-bool RunJudge::mustEvacuate(const Job &job, const TaskId &id,
-                            const Task &task) const {
+bool RunMonitor::mustEvacuate(const Job &job, const TaskId &id,
+                              const Task &task) const {
   const WorkerView *worker = Scheduler.Workers.find(task.Progress.Worker);
   if (worker == nullptr || worker->EarliestShutdown == absl::InfiniteFuture())
     return false;
   const absl::Duration timeLeft = worker->EarliestShutdown - Now;
-  const absl::Duration stopTime = Scheduler.Policy.StopTakes + StopDeliveryTime;
+  const absl::Duration stopTime =
+      Scheduler.Policy.StopDuration + StopDeliveryTime;
   if (remainingTime(job, id, task) < timeLeft - StopDeliveryTime)
     return false;
   const core::StepSpec &spec = job.specOf(id);
   return !spec.Checkpoints || timeLeft <= stopTime;
 }
 
-void RunJudge::requestRestart(Job &job, const TaskId &id, Task &task,
-                              const std::string &why) {
+void RunMonitor::requestRestart(Job &job, const TaskId &id, Task &task,
+                                const std::string &why) {
   if (job.specOf(id).Gang)
     Scheduler.stopStep(job, id.Occurrence, id.Step, "a member " + why);
   else
     Scheduler.requestStop(id, task, "it " + why);
 }
 
-void RunJudge::evacuate(Job &job, const TaskId &id, Task &task) {
+void RunMonitor::evacuate(Job &job, const TaskId &id, Task &task) {
   const WorkerView *worker = Scheduler.Workers.find(task.Progress.Worker);
-  Scheduler.note(
+  Scheduler.logDecision(
       Decision::Kind::RunEvacuated, id.Job, core::taskName(id),
       task.Progress.Run, task.Progress.Worker.Id, "",
       {{"percent", task.Percent},
        {"worker_leaves_in_ms",
         absl::ToInt64Milliseconds(worker->EarliestShutdown - Now)},
-       {"worker_heard_ms_ago", Scheduler.heardMsAgo(worker->State.Life, Now)}});
+       {"worker_heard_ms_ago",
+        Scheduler.lastReportAgeMs(worker->State.Life, Now)}});
   requestRestart(job, id, task, "would not be done before its worker leaves");
 }
 
-void RunJudge::quarantineAndRestart(Job &job, const TaskId &id, Task &task,
-                                    const std::string &why) {
+void RunMonitor::quarantineAndRestart(Job &job, const TaskId &id, Task &task,
+                                      const std::string &why) {
   const std::string name = core::taskName(id);
-  Scheduler.note(Decision::Kind::RunStandsStill, id.Job, name,
-                 task.Progress.Run, task.Progress.Worker.Id,
-                 absl::StrCat(why, " at ", task.Percent, "%"));
+  Scheduler.logDecision(Decision::Kind::RunStalledOrSlow, id.Job, name,
+                        task.Progress.Run, task.Progress.Worker.Id,
+                        absl::StrCat(why, " at ", task.Percent, "%"));
   if (Scheduler.Workers.quarantine(task.Progress.Worker, Now))
-    Scheduler.note(Decision::Kind::WorkerKeptOut, id.Job, name,
-                   task.Progress.Run, task.Progress.Worker.Id, why);
+    Scheduler.logDecision(Decision::Kind::WorkerQuarantined, id.Job, name,
+                          task.Progress.Run, task.Progress.Worker.Id, why);
   requestRestart(job, id, task, why);
 }
 
--- a/src/libs/metrics/processmetrics.h
+++ b/src/libs/metrics/processmetrics.h
@@ -13,27 +13,28 @@
 namespace oriolebay::metrics {
 
 /// Counters, gauges and latency histograms of one process, named by the
-/// conventions of Prometheus. Thread-safe. Counting costs about a microsecond
+/// conventions of Prometheus. Thread-safe. Counting takes about a microsecond
 /// and never waits for readers.
 class ProcessMetrics {
 public:
   ProcessMetrics();
 
   /// Counts a caller's call that was answered.
-  void callAnswered(const std::string &call, const std::string &result,
-                    absl::Duration duration);
+  void recordCall(const std::string &call, const std::string &result,
+                  absl::Duration duration);
   /// Counts a call to the platform's store that was answered or given up on.
-  void storeCalled(const std::string &call, const std::string &status,
-                   absl::Duration duration);
+  void recordStoreCall(const std::string &call, const std::string &status,
+                       absl::Duration duration);
   /// Records that a run was placed, and the time between the acceptance of its
   /// job and the placement.
-  void runPlaced(int rank, absl::Duration waitTime);
+  void recordRunPlaced(int rank, absl::Duration waitTime);
   /// Records that a job ended, and the time between its acceptance and its end.
-  void jobEnded(const std::string &state, int priority,
-                absl::Duration duration);
+  void recordJobEnded(const std::string &state, int priority,
+                      absl::Duration duration);
   /// Counts an order when its outcome is known to the agent.
-  void orderConcluded(const std::string &outcome);
+  void recordOrderOutcome(const std::string &outcome);
 
+  /// Sets a gauge, which is exported as "oriolebay_" followed by its name.
   void set(const std::string &gauge, const std::string &help, double value);
 
   /// Returns all metrics in the text format of Prometheus, including the event
@@ -41,7 +42,8 @@
   std::string text();
 
 private:
-  void countEvents();
+  /// Updates the counters of events and dropped lines from the event log.
+  void updateEventCounters();
 
   prometheus::Registry Registry;
   prometheus::Family<prometheus::Counter> &Calls;
--- a/src/libs/operators/configfollower.cpp
+++ b/src/libs/operators/configfollower.cpp
@@ -15,7 +15,7 @@
                                ConfigSource source, OnConfig onConfig,
                                OnRefused onRefused, OnOutdated onOutdated,
                                OnStoreError onStoreError)
-    : Loop(loop), Calls(store), Source(std::move(source)),
+    : Loop(loop), StoreClient(store), Source(std::move(source)),
       NotifyChanged(std::move(onConfig)), NotifyRefused(std::move(onRefused)),
       NotifyOutdated(std::move(onOutdated)),
       NotifyStoreError(std::move(onStoreError)),
@@ -67,14 +67,15 @@
       });
 }
 
-void ConfigFollower::learn(const platform::KeyValue &item, absl::Time sentAt) {
+void ConfigFollower::applyItem(const platform::KeyValue &item,
+                               absl::Time sentAt) {
   applyConfig(item);
   if (item.ModRevision == SeenRevision)
     ConfirmedAt = std::max(ConfirmedAt, sentAt);
 }
 
-void ConfigFollower::heardOf(const core::ConfigStamp &newer) {
-  if (newer.Revision <= newestRevision())
+void ConfigFollower::handleNewerConfig(const core::ConfigStamp &newer) {
+  if (newer.Revision <= newestKnownRevision())
     return;
   NewestKnownRevision = newer.Revision;
   NotifyOutdated(newer);
@@ -82,7 +83,7 @@
 }
 
 void ConfigFollower::scheduleConfirmation() {
-  Loop.runAfter(Source.ConfirmEvery, [this, alive = Alive] {
+  Loop.runAfter(Source.ConfirmInterval, [this, alive = Alive] {
     if (!*alive)
       return;
     confirm([this, alive](bool) {
@@ -102,31 +103,31 @@
   txn.TimeoutMs = timeoutMs;
   const absl::Time sentAt = Loop.now();
   const int64_t expectedRevision = Revision;
-  Calls.Transact(std::move(txn),
-                 [this, alive = Alive, sentAt, expectedRevision,
-                  done = std::move(done)](const StoreReply<StoreTxnReply> &r) {
-                   if (!*alive)
-                     return;
-                   if (r.ok()) {
-                     // The configuration in force may have changed since the
-                     // call was sent. Then the answer is about an older one,
-                     // but a newer one was seen since, so that the view is at
-                     // least as fresh.
-                     if (expectedRevision <= Revision)
-                       ConfirmedAt = std::max(ConfirmedAt, sentAt);
-                     done(true);
-                     return;
-                   }
-                   if (r.Status == StoreStatus::Conflict) {
-                     for (const platform::KeyValue &item : r.Value.Current)
-                       if (item.Key == Source.Key)
-                         learn(item, sentAt);
-                     done(true);
-                     return;
-                   }
-                   NotifyStoreError(r.Status, r.Why);
-                   done(false);
-                 });
+  StoreClient.Transact(
+      std::move(txn),
+      [this, alive = Alive, sentAt, expectedRevision,
+       done = std::move(done)](const StoreReply<StoreTxnReply> &r) {
+        if (!*alive)
+          return;
+        if (r.ok()) {
+          // The configuration in force may have changed since the
+          // call was sent. The answer is then about an older one,
+          // and the newer view is at least as fresh.
+          if (expectedRevision <= Revision)
+            ConfirmedAt = std::max(ConfirmedAt, sentAt);
+          done(true);
+          return;
+        }
+        if (r.Status == StoreStatus::Conflict) {
+          for (const platform::KeyValue &item : r.Value.Current)
+            if (item.Key == Source.Key)
+              applyItem(item, sentAt);
+          done(true);
+          return;
+        }
+        NotifyStoreError(r.Status, r.Why);
+        done(false);
+      });
 }
 
 } // namespace oriolebay::operators
--- a/src/libs/placement/clusterstate.cpp
+++ b/src/libs/placement/clusterstate.cpp
@@ -83,7 +83,8 @@
   SlotLayoutDirty = true;
 }
 
-// Clears the members on a worker that is gone and adds their runs to runs.
+// Clears the members on a worker that was lost or restarted, and adds their
+// runs to runs.
 void ClusterState::clearMembers(const std::string &workerId,
                                 std::vector<RunId> &runs) {
   for (auto &[run, gang] : Gangs) {
@@ -99,7 +100,7 @@
   }
 }
 
-void ClusterState::markLeaving(const std::string &workerId) {
+void ClusterState::markDraining(const std::string &workerId) {
   auto it = Workers.find(workerId);
   if (it != Workers.end() && !std::exchange(it->second.Draining, true))
     SlotLayoutDirty = true;
@@ -297,12 +298,12 @@
   return it == Gangs.end() ? nullptr : &it->second;
 }
 
-bool ClusterState::workerKnown(const std::string &workerId) const {
+bool ClusterState::isWorkerKnown(const std::string &workerId) const {
   return Workers.count(workerId) != 0;
 }
 
-std::set<std::string> ClusterState::drainTarget(const core::Shape &shape,
-                                                absl::Time now) const {
+std::set<std::string> ClusterState::workersToKeepFree(const core::Shape &shape,
+                                                      absl::Time now) const {
   struct Group {
     int Capacity = 0;
     int Free = 0;
--- a/src/libs/placement/clusterstate.h
+++ b/src/libs/placement/clusterstate.h
@@ -30,8 +30,8 @@
   RunId Run;
   core::JobRequest Job;
   Assignment Workers;
-  /// For each member the id of the guarantee slot that it uses, or SharedRoom,
-  /// or Borrowed.
+  /// For each member the id of the guarantee slot that it uses, or
+  /// SharedCapacity, or Borrowed.
   std::vector<int64_t> Slots;
   /// A stop was requested. The gang's accelerators stay in use until it has
   /// ended.
@@ -52,10 +52,11 @@
   /// batch work in slots can be stopped for an urgent gang of the same
   /// organisation.
   static constexpr int64_t Borrowed = 0;
-  static constexpr int64_t SharedRoom = -1;
-  /// Whether the gang does not borrow, so that it cannot be preempted for
+  static constexpr int64_t SharedCapacity = -1;
+  /// Whether at least one member uses a slot of the gang's organisation or
+  /// capacity that is guaranteed to nobody. Such a gang is not preempted for
   /// another organisation's guarantee.
-  bool firm() const {
+  bool hasOwnCapacity() const {
     return std::any_of(Slots.begin(), Slots.end(),
                        [](int64_t s) { return s != Borrowed; });
   }
@@ -102,7 +103,7 @@
   std::vector<RunId> upsertWorker(const core::WorkerInfo &info,
                                   int64_t incarnation, absl::Time now);
   /// Places no new work on the worker from now on, because it drains.
-  void markLeaving(const std::string &workerId);
+  void markDraining(const std::string &workerId);
   /// Marks workers without an announcement for longer than timeout as
   /// unresponsive, and returns the runs on those that were not marked before.
   /// An unresponsive worker gets no new work, but the tasks on it stay charged:
@@ -137,13 +138,14 @@
         const std::set<std::string> &avoidedWorkers = {});
   /// Takes over a run that was placed by an earlier leader. It is charged as
   /// running on its workers, including those that have not announced themselves
-  /// yet.
+  /// yet. A non-idempotent gang uses shared capacity and an idempotent one
+  /// borrows, until slots of its organisation are assigned to it.
   void adopt(const RunId &run, const core::JobRequest &job,
              const Assignment &workers);
   /// Records that a stop of run was requested.
   void markStopping(const RunId &run);
   /// Frees the accelerators and slots of run; ignores unknown runs. Returns the
-  /// gangs that waited for the end of this run only and can be started now.
+  /// gangs that waited only for the end of this run and can be started now.
   std::vector<RunId> release(const RunId &run);
   /// Returns the runs to stop so that the charged power falls to the cap again,
   /// after the cap was lowered or tasks were measured above their declaration.
@@ -153,8 +155,8 @@
   /// can be placed: those of the rack (else of the failure domain) with the
   /// most free accelerators among those that could hold the gang when empty.
   /// Empty if no group of workers could.
-  std::set<std::string> drainTarget(const core::Shape &shape,
-                                    absl::Time now) const;
+  std::set<std::string> workersToKeepFree(const core::Shape &shape,
+                                          absl::Time now) const;
 
   std::vector<FreeWorker>
   freeWorkers(absl::Time now = absl::InfiniteFuture()) const;
@@ -162,7 +164,7 @@
   int workerCount() const { return static_cast<int>(Workers.size()); }
   const Allocation *allocation(const RunId &run) const;
   const std::map<RunId, Allocation> &allocations() const { return Gangs; }
-  bool workerKnown(const std::string &workerId) const;
+  bool isWorkerKnown(const std::string &workerId) const;
   bool isQuarantined(const std::string &workerId, absl::Time now) const;
   /// Number of guaranteed accelerators whose slots are on no worker now. It is
   /// above zero only while workers are missing, while the profiles guarantee
@@ -206,6 +208,8 @@
     std::vector<int64_t> Slots;
     std::map<int64_t, std::string> Moves;
   };
+  /// The workers for a gang, and the runs that must end before it starts. Some
+  /// of these may be stopping already.
   struct PlacementPlan {
     Assignment Workers;
     std::set<RunId> Victims;
@@ -263,7 +267,7 @@
   selectVictims(const core::JobRequest &job, const Assignment &workers,
                 const std::set<RunId> &ownVictims,
                 const std::vector<const Allocation *> &candidates) const;
-  enum class CapacitySource { Borrowed, Slots, SharedRoom };
+  enum class CapacitySource { Borrowed, Slots, SharedCapacity };
   const Allocation &commitPlan(const RunId &run, const core::JobRequest &job,
                                PlacementPlan plan, CapacitySource source);
   void adjustUse(const std::string &workerId, int used, int shared);
--- a/src/libs/placement/reserve.cpp
+++ b/src/libs/placement/clusterstate_slots.cpp
@@ -244,8 +244,8 @@
       }
     }
     if (chosen == 0 && movableSlot != 0) {
-      // The capacity that the slot leaves behind is not counted as free. That
-      // keeps the plan independent of the order in which its moves are made.
+      // The capacity that the slot reserved before the move is not counted as
+      // free. The plan is then independent of the order of its moves.
       plan.Moves[movableSlot] = worker;
       movedIn[worker] += Slots.at(movableSlot).Width;
       chosen = movableSlot;
@@ -268,7 +268,7 @@
 
 void ClusterState::assignSharedCapacity(Allocation &gang) {
   for (size_t m = 0; m < gang.Workers.size(); ++m) {
-    gang.Slots[m] = Allocation::SharedRoom;
+    gang.Slots[m] = Allocation::SharedCapacity;
     adjustUse(gang.Workers[m], 0, gang.Job.GangShape.AcceleratorsPerMember);
   }
 }
@@ -276,7 +276,7 @@
 void ClusterState::releaseSlot(Allocation &gang, size_t member) {
   const int width = gang.Job.GangShape.AcceleratorsPerMember;
   const int64_t id = std::exchange(gang.Slots[member], Allocation::Borrowed);
-  if (id == Allocation::SharedRoom) {
+  if (id == Allocation::SharedCapacity) {
     adjustUse(gang.Workers[member], 0, -width);
     SlotLayoutDirty = true;
   } else if (id != Allocation::Borrowed) {
@@ -310,7 +310,7 @@
     if (usedInSlots(organisation) + shape.accelerators() >
         guaranteedTo(organisation))
       continue;
-    const bool usesSharedCapacity = gang->firm();
+    const bool usesSharedCapacity = gang->hasOwnCapacity();
     if (usesSharedCapacity)
       releaseSlots(*gang);
     if (auto plan =
--- a/src/libs/platform/kvclient.cpp
+++ b/src/libs/platform/kvclient.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Maximum number of keys per page. The record of a gang of 128 members takes
-// about 1.6 KB.
+// Maximum number of keys per page. It is bounded because the store limits the
+// size of an answer, and the record of a gang of 128 members takes about 1.6
+// KB.
 constexpr int MaxKeysPerPage = 400;
 
 std::string encodeBase64(const std::string &s) { return absl::Base64Escape(s); }
@@ -80,10 +81,10 @@
   // The store may have applied a write although the answer is missing or has a
   // 5xx status. The caller must treat the outcome as unknown, not as "not
   // written".
-  if (!res.answered() || res.Status >= 500)
+  if (!res.hasAnswer() || res.Status >= 500)
     return utils::fail(ErrorKind::StoreUnavailable,
                        "store call " + path + " failed: " +
-                           (res.answered() ? res.Body : res.Error),
+                           (res.hasAnswer() ? res.Body : res.Error),
                        "retry later; the store may be down or slow");
   if (res.Status != 200)
     return utils::fail(ErrorKind::StoreBadReply,
--- a/src/libs/platform/prefixfollower.cpp
+++ b/src/libs/platform/prefixfollower.cpp
@@ -11,7 +11,7 @@
                                std::string prefix, FollowTiming timing,
                                OnChange onChange, OnComplete onComplete,
                                OnStoreError onStoreError)
-    : Loop(loop), Calls(store), Prefix(std::move(prefix)),
+    : Loop(loop), StoreClient(store), Prefix(std::move(prefix)),
       Timing(std::move(timing)), NotifyChange(std::move(onChange)),
       NotifyComplete(std::move(onComplete)),
       NotifyStoreError(std::move(onStoreError)),
@@ -29,7 +29,7 @@
 }
 
 void PrefixFollower::readPage(uint64_t round, const std::string &after) {
-  Calls.Range(
+  StoreClient.Range(
       Prefix, after, ReadMode::Linearizable,
       [this, currentRound = Round, round](const StoreReply<StorePage> &reply) {
         if (*currentRound == round)
@@ -81,7 +81,7 @@
 
 void PrefixFollower::apply(const StoreEvent &event) {
   if (!event.Deleted) {
-    if (noteKnown(event.Item.Key, event.Item.ModRevision))
+    if (markKnown(event.Item.Key, event.Item.ModRevision))
       NotifyChange(event);
     return;
   }
@@ -92,7 +92,7 @@
   NotifyChange(event);
 }
 
-bool PrefixFollower::noteKnown(const std::string &key, int64_t revision) {
+bool PrefixFollower::markKnown(const std::string &key, int64_t revision) {
   const auto [it, added] = ReportedRevisions.emplace(key, revision);
   if (!added && it->second >= revision)
     return false;
@@ -100,16 +100,18 @@
   return true;
 }
 
-void PrefixFollower::learn(KeyValue item) { apply({std::move(item), false}); }
+void PrefixFollower::applyItem(KeyValue item) {
+  apply({std::move(item), false});
+}
 
 void PrefixFollower::watch(uint64_t round) {
-  Calls.Watch(Prefix, SeenRevision,
-              absl::ToInt64Milliseconds(Timing.MaxWatchWait),
-              [this, currentRound = Round,
-               round](const StoreReply<StoreEvents> &reply) {
-                if (*currentRound == round)
-                  onEvents(round, reply);
-              });
+  StoreClient.Watch(Prefix, SeenRevision,
+                    absl::ToInt64Milliseconds(Timing.MaxWatchWait),
+                    [this, currentRound = Round,
+                     round](const StoreReply<StoreEvents> &reply) {
+                      if (*currentRound == round)
+                        onEvents(round, reply);
+                    });
 }
 
 void PrefixFollower::onEvents(uint64_t round,
@@ -144,8 +146,9 @@
 }
 
 void PrefixFollower::watchAfterDelay(uint64_t round) {
-  const absl::Duration delay =
-      Timing.RestAfterNews ? Timing.RestAfterNews() : absl::ZeroDuration();
+  const absl::Duration delay = Timing.DelayAfterChanges
+                                   ? Timing.DelayAfterChanges()
+                                   : absl::ZeroDuration();
   if (delay <= absl::ZeroDuration()) {
     watch(round);
     return;
--- a/src/libs/scheduler/gangscheduler.cpp
+++ b/src/libs/scheduler/gangscheduler.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 // Placement of waiting gangs is retried when something changed, and at least
-// with this period, because quarantines and drains end by time alone.
+// with this period, because quarantines, drains and wait limits end by time
+// alone.
 const absl::Duration PlacementPeriod = absl::Milliseconds(200);
 // Timeouts of workers and of stops are measured in seconds. Checking them in
 // each tick would cost more than all other work on a large idle site.
@@ -117,12 +118,12 @@
 void GangScheduler::onAnnounce(const endpoints::Announce &announce, bool fenced,
                                absl::Time now) {
   const std::string &id = announce.Worker.Id;
-  PlacementDue = PlacementDue || !State.workerKnown(id);
+  PlacementDue = PlacementDue || !State.isWorkerKnown(id);
   for (const RunId &run :
        State.upsertWorker(announce.Worker, announce.Incarnation, now))
     handleLostMembers(run, id, now);
   if (announce.Leaving)
-    State.markLeaving(id);
+    State.markDraining(id);
   recordWatts(announce);
   if (fenced) {
     checkAdoptedRuns(announce, now);
@@ -130,10 +131,9 @@
   }
 }
 
-// Stops tasks of runs that this scheduler does not have any more, so that no
-// caller waits for them: their worker was partitioned and given up as lost, or
-// their start was never confirmed. They would use accelerators and power for
-// nothing.
+// Stops tasks of runs that this scheduler no longer has: their worker was
+// partitioned and given up as lost, or their start was never confirmed. No
+// caller waits for them, and they would use accelerators and power in vain.
 void GangScheduler::stopUnknownTasks(const endpoints::Announce &announce) {
   for (const endpoints::TaskStatus &task : announce.Tasks)
     if (Runs.count(task.Run) == 0)
@@ -163,6 +163,8 @@
   }
 }
 
+// Handles the first complete list of tasks of a worker: members of adopted runs
+// that should be on it, but are not in the list, are lost.
 void GangScheduler::checkAdoptedRuns(const endpoints::Announce &announce,
                                      absl::Time now) {
   const std::string &id = announce.Worker.Id;
@@ -197,7 +199,7 @@
 
 void GangScheduler::releaseRun(const RunId &run) {
   auto it = Runs.find(run);
-  Actions.push_back(ForgetRun{run, it->second.Gang.Request});
+  Actions.push_back(DeleteRunRecord{run, it->second.Gang.Request});
   Runs.erase(it);
   for (const RunId &ready : State.release(run))
     startRun(ready);
@@ -245,8 +247,9 @@
     const bool wasQuarantined = State.isQuarantined(result.WorkerId, now);
     State.recordTaskEnd(result.WorkerId, result.End == TaskEnd::Done, now);
     if (!wasQuarantined && State.isQuarantined(result.WorkerId, now))
-      Actions.push_back(Note{Note::Kind::WorkerQuarantined, result.WorkerId,
-                             "failed several tasks in a row"});
+      Actions.push_back(LogReason{LogReason::Kind::WorkerQuarantined,
+                                  result.WorkerId,
+                                  "failed several tasks in a row"});
   }
   if (result.End == TaskEnd::Failed)
     it->second.Gang.AvoidedWorkers.insert(result.WorkerId);
@@ -257,6 +260,8 @@
                   now);
 }
 
+// Records the end of a member. The failure of one member stops the run, and the
+// end of the last member finishes it.
 void GangScheduler::handleMemberEnd(const RunId &run, core::MemberResult result,
                                     absl::Time now) {
   RunState &r = Runs.at(run);
@@ -273,6 +278,8 @@
     finishRun(run, now);
 }
 
+// Stops the run and ends as failed those of its members that have no result and
+// were on worker, or on a worker that has been removed from the state.
 void GangScheduler::handleLostMembers(const RunId &run,
                                       const std::string &worker,
                                       absl::Time now) {
@@ -305,6 +312,8 @@
          gang.Attempt < Limits.MaxAttempts;
 }
 
+// Answers the caller with the results of the members that have ended, unless it
+// has been answered already.
 void GangScheduler::answerCaller(const RunState &run, Outcome outcome,
                                  const std::string &detail) {
   if (run.Answered)
@@ -318,6 +327,9 @@
       AnswerCaller{run.Gang.Request, std::move(answer), run.Orphan});
 }
 
+// Begins to stop the run, unless that has begun already. A run that was not
+// started yet is released instead; its gang is requeued, or answered if it was
+// cancelled.
 void GangScheduler::beginStop(const RunId &run, StopCause cause,
                               const std::string &detail, absl::Time now) {
   auto it = Runs.find(run);
@@ -326,7 +338,7 @@
   RunState &r = it->second;
   r.Cause = cause;
   r.Detail = detail;
-  Actions.push_back(Note{Note::Kind::Stopping, run, detail});
+  Actions.push_back(LogReason{LogReason::Kind::Stopping, run, detail});
   const placement::Allocation *alloc = State.allocation(run);
   if (!alloc->WaitsFor.empty()) {
     // The gang was placed but not started, so there is nothing to stop.
@@ -390,7 +402,8 @@
   // ran is not waiting time.
   gang.WaitingSince = now;
   gang.DrainedWorkers.clear();
-  Actions.push_back(Note{Note::Kind::Requeued, gang.Request.GangId, why});
+  Actions.push_back(
+      LogReason{LogReason::Kind::Requeued, gang.Request.GangId, why});
   Pending.push_back(std::move(gang));
   PlacementDue = true;
 }
@@ -507,11 +520,12 @@
       refusePending(gang, *refusal);
       continue;
     }
+    // Workers are kept free for at most one gang at a time.
     if (gang.DrainedWorkers.empty() && drainedWorkers.empty() &&
-        now - gang.WaitingSince >= Limits.StarveAfter &&
+        now - gang.WaitingSince >= Limits.DrainWorkersAfter &&
         refusal->Reason == NotRunReason::NoCapacity &&
         job.GangShape.accelerators() > 1) {
-      gang.DrainedWorkers = State.drainTarget(job.GangShape, now);
+      gang.DrainedWorkers = State.workersToKeepFree(job.GangShape, now);
       drainedWorkers = gang.DrainedWorkers;
     }
     // If no other worker is left, retry the workers that refused or failed the
@@ -522,6 +536,7 @@
   }
 }
 
+// Returns nothing if the gang was placed; it has then become a run.
 std::optional<placement::Refusal>
 GangScheduler::tryPlace(PendingGang &gang, absl::Time now,
                         const std::set<std::string> &drainedWorkers) {
@@ -562,6 +577,8 @@
   return std::nullopt;
 }
 
+// Answers the caller of a waiting gang. Removing the gang from Pending is left
+// to the calling function.
 void GangScheduler::refusePending(PendingGang &gang,
                                   const placement::Refusal &refusal) {
   // A gang that ran and was stopped has run in part, so it must not be answered
--- a/tests/auto/adapter/tst_callerform.cpp
+++ b/tests/auto/adapter/tst_calleradapter.cpp
@@ -1,5 +1,5 @@
-#include "callerform.h"
-#include "configform.h"
+#include "calleradapter.h"
+#include "configadapter.h"
 
 #include <gtest/gtest.h>
 
@@ -11,17 +11,17 @@
 struct JobCase {
   const char *Name;
   std::string Body;
-  bool Good;
+  bool IsValid;
 };
 
 void PrintTo(const JobCase &c, std::ostream *out) { *out << c.Name; }
 
 class JobBodies : public ::testing::TestWithParam<JobCase> {};
 
-TEST_P(JobBodies, AreReadOrRefusedWithTheRemedy) {
-  const bool read = utils::handle<bool>(
+TEST_P(JobBodies, AreParsedOrRejectedWithARemedy) {
+  const bool isAccepted = utils::handle<bool>(
       [&]() -> utils::Result<bool> {
-        BOOST_LEAF_AUTO(spec, readJob(Id, GetParam().Body));
+        BOOST_LEAF_AUTO(spec, parseJob(Id, GetParam().Body));
         EXPECT_EQ(spec.Id, Id);
         return true;
       },
@@ -30,11 +30,11 @@
         EXPECT_NE(e.text().find("remedy"), std::string::npos) << e.text();
         return false;
       });
-  EXPECT_EQ(read, GetParam().Good);
+  EXPECT_EQ(isAccepted, GetParam().IsValid);
 }
 
 const JobCase JobCases[] = {
-    {"smallest", R"({"spec":"x","steps":[{"cpu":100}]})", true},
+    {"minimal", R"({"spec":"x","steps":[{"cpu":100}]})", true},
     {"unknown_field", R"({"spec":"x","steps":[{"cpu":100}],"colour":1})",
      false},
     {"unknown_step_field", R"({"spec":"x","steps":[{"cpus":100}]})", false},
@@ -51,10 +51,10 @@
 INSTANTIATE_TEST_SUITE_P(Table, JobBodies, ::testing::ValuesIn(JobCases),
                          [](const auto &info) { return info.param.Name; });
 
-TEST(JobForm, StepKeepsWhatItsFieldsMean) {
+TEST(CallerAdapter, ParsesEveryFieldOfAStep) {
   const core::JobSpec spec = utils::handle<core::JobSpec>(
       [&]() -> utils::Result<core::JobSpec> {
-        return readJob(Id, R"({"spec":"x","steps":[{"cpu":1},{"count":3,
+        return parseJob(Id, R"({"spec":"x","steps":[{"cpu":1},{"count":3,
             "cpu":2500,"memMb":512,"gpu":4,"estimateMs":900,"after":[0],
             "savesProgress":true,"gang":true,"sameRack":true,"needs":"a",
             "affinity":"r1-1","antiAffinity":2,"mayMiss":1}]})");
@@ -72,23 +72,23 @@
   EXPECT_EQ(step.NeedsLabel, "a");
   EXPECT_EQ(step.DataRack, "r1-1");
   EXPECT_EQ(step.MaxPerWorker, 2);
-  EXPECT_EQ(step.MayMiss, 1);
+  EXPECT_EQ(step.MaxUnavailable, 1);
 }
 
 struct ConfigCase {
   const char *Name;
   const char *Value;
-  bool Good;
+  bool IsValid;
 };
 
 void PrintTo(const ConfigCase &c, std::ostream *out) { *out << c.Name; }
 
 class Configs : public ::testing::TestWithParam<ConfigCase> {};
 
-TEST_P(Configs, AreReadOrRefused) {
-  const bool read = utils::handle<bool>(
+TEST_P(Configs, AreParsedOrRejected) {
+  const bool isAccepted = utils::handle<bool>(
       [&]() -> utils::Result<bool> {
-        BOOST_LEAF_AUTO(config, readConfig(GetParam().Value));
+        BOOST_LEAF_AUTO(config, parseConfig(GetParam().Value));
         EXPECT_EQ(config.Version, 3);
         EXPECT_EQ(config.Queues.size(), 1u);
         EXPECT_EQ(config.Organisations.size(), 1u);
@@ -99,11 +99,11 @@
         EXPECT_EQ(e.Kind, utils::ErrorKind::BadMessage);
         return false;
       });
-  EXPECT_EQ(read, GetParam().Good);
+  EXPECT_EQ(isAccepted, GetParam().IsValid);
 }
 
 const ConfigCase ConfigCases[] = {
-    {"whole",
+    {"complete",
      R"({"version":3,"routes":[{"name":"q","host":"h","prefix":"/p/",
          "service":"s","priority":1,"stretch":1.5,"targetLatencyMs":250}],
          "tenants":[{"name":"o","apiKeys":["k"],"guaranteed":{"gpu":16}}]})",
--- a/tests/auto/cluster/memoryworker.cpp
+++ b/tests/auto/cluster/memoryworker.cpp
@@ -37,7 +37,8 @@
   Loop.runAfter(StepInterval, [this] { step(); });
 }
 
-// Uses the time of day, which may step back between two incarnations.
+// The start time is given in time of day, which may step back between two
+// incarnations: it is off by up to 5 s either way.
 int64_t MemoryWorker::randomStartTimeMs() {
   const int64_t stepMs = std::uniform_int_distribution<>(-5000, 5000)(Random);
   return absl::ToUnixMillis(IncarnationStart) + 1000000 + stepMs;
@@ -84,6 +85,8 @@
   State.Capacity = capacity;
 }
 
+// Returns the largest amount of each resource that the worker has had within
+// CapacityReductionDelay.
 core::Resources MemoryWorker::enforcedCapacity() const {
   core::Resources most = State.Capacity;
   for (const auto &[until, capacity] : PreviousCapacities)
@@ -98,6 +101,7 @@
   std::vector<PendingPoll> pending = std::exchange(PendingPolls, {});
   crash(id);
   ListensFrom = Loop.now() + downtime;
+  // The connections of open polls are closed, so the polls fail at once.
   for (PendingPoll &poll : pending)
     Loop.runAfter(AnswerDelay, [done = poll.Done] { done({}); });
 }
@@ -147,7 +151,7 @@
   extendLease(call.UntilMs);
   auto highest = HighestRunByTask.find(key.first);
   if (highest != HighestRunByTask.end() && key.second <= highest->second)
-    return refuse(RefusalReason::OldRun);
+    return refuse(RefusalReason::StaleRun);
   if (call.UntilMs <= clockMs())
     return refuse(RefusalReason::TooLate);
   if (Shared.AcknowledgedDone.count(key.first) != 0)
@@ -155,9 +159,9 @@
                                 " was started after its end was acknowledged");
   if (!Shared.Running[key.first].empty())
     Shared.Violations.push_back(key.first + " runs twice");
-  core::Resources used = Shared.StepOf(key.first).room();
+  core::Resources used = Shared.StepOf(key.first).taskResources();
   for (const auto &[k, run] : Runs)
-    used += Shared.StepOf(k.first).room();
+    used += Shared.StepOf(k.first).taskResources();
   if (!used.fitsIn(enforcedCapacity()))
     Shared.Violations.push_back(State.Life.Id + " runs more than its capacity");
   countStart(key.first);
@@ -181,8 +185,9 @@
   return ok();
 }
 
-endpoints::HoldReply MemoryWorker::keepAlive(const endpoints::HoldCall &call) {
-  endpoints::HoldReply reply;
+endpoints::KeepAliveReply
+MemoryWorker::keepAlive(const endpoints::KeepAliveCall &call) {
+  endpoints::KeepAliveReply reply;
   reply.Outcome = ok();
   reply.Outcome.BornMs = State.Life.BornMs;
   if (call.Epoch < FencingToken) {
@@ -210,7 +215,7 @@
   return reply;
 }
 
-void MemoryWorker::deliverOrder(const endpoints::WorkerLife &incarnation,
+void MemoryWorker::deliverOrder(const endpoints::WorkerIncarnation &incarnation,
                                 const std::function<CallOutcome()> &execute,
                                 const std::function<void(CallOutcome)> &done) {
   auto noAnswer = [this, done] {
@@ -224,7 +229,7 @@
   }
   if (!isListening()) {
     Loop.runAfter(AnswerDelay, [done] {
-      done({CallStatus::NotThere, RefusalReason::None, 0, "refused"});
+      done({CallStatus::NotListening, RefusalReason::None, 0, "refused"});
     });
     return;
   }
@@ -233,7 +238,7 @@
     if (!isListening())
       return {};
     if (incarnation.Id != State.Life.Id)
-      return {CallStatus::OtherLife, RefusalReason::None, clockMs(), ""};
+      return {CallStatus::OtherIncarnation, RefusalReason::None, clockMs(), ""};
     return execute();
   };
   if (chance(LateOrderShare)) {
@@ -256,31 +261,32 @@
   endpoints::WorkerCalls calls;
   calls.Start = [this](const endpoints::StartCall &c, const auto &done) {
     deliverOrder(
-        c.Life, [this, c] { return start(c); }, done);
+        c.Incarnation, [this, c] { return start(c); }, done);
   };
   calls.Stop = [this](const endpoints::StopCall &c, const auto &done) {
     deliverOrder(
-        c.Life, [this, c] { return stop(c); }, done);
+        c.Incarnation, [this, c] { return stop(c); }, done);
   };
-  calls.Hold = [this](const endpoints::HoldCall &c, const auto &done) {
+  calls.KeepAlive = [this](const endpoints::KeepAliveCall &c,
+                           const auto &done) {
     if (Down) {
       Loop.runAfter(OrderTimeout, [done] { done({}); });
       return;
     }
     Loop.runAfter(AnswerDelay, [this, c, done] {
       if (!isListening()) {
-        endpoints::HoldReply reply;
-        reply.Outcome.Status = CallStatus::NotThere;
+        endpoints::KeepAliveReply reply;
+        reply.Outcome.Status = CallStatus::NotListening;
         done(reply);
         return;
       }
-      if (c.Life.Id != State.Life.Id) {
-        endpoints::HoldReply reply;
-        reply.Outcome.Status = CallStatus::OtherLife;
+      if (c.Incarnation.Id != State.Life.Id) {
+        endpoints::KeepAliveReply reply;
+        reply.Outcome.Status = CallStatus::OtherIncarnation;
         done(reply);
         return;
       }
-      const endpoints::HoldReply reply = keepAlive(c);
+      const endpoints::KeepAliveReply reply = keepAlive(c);
       if (c.WaitMs == 0 || !reply.Ended.empty() ||
           reply.Outcome.Status != CallStatus::Ok) {
         done(reply);
@@ -310,7 +316,8 @@
       remaining.push_back(std::move(poll));
       continue;
     }
-    endpoints::HoldCall pollOnly = poll.Call;
+    // The lease was extended when the call arrived.
+    endpoints::KeepAliveCall pollOnly = poll.Call;
     pollOnly.UntilMs = 0;
     poll.Done(keepAlive(pollOnly));
   }
--- a/tests/auto/jobs/simsite.cpp
+++ b/tests/auto/jobs/simsite.cpp
@@ -84,9 +84,10 @@
 void SimSite::crashAndRestart(const std::string &incarnation) {
   CrashedWorker crashed{Workers.at(incarnation), Now + CrashDetectionDelay,
                         Now + RestartDelay};
-  endpoints::LifeEnd end{crashed.LastState.State.Life, true, {}, true, {}};
+  endpoints::IncarnationEnd end{
+      crashed.LastState.State.Life, true, {}, true, {}};
   for (const auto &[run, state] : crashed.LastState.Runs) {
-    if (Now - state.StartedAt < endpoints::CrashShowsWithin)
+    if (Now - state.StartedAt < endpoints::CrashDetectionWindow)
       end.JustBegun.push_back(run);
     if (CrashesWorker && CrashesWorker(taskIdOf(run.Task)))
       ++CrashesByTask[run.Task];
@@ -142,7 +143,7 @@
         task + " was started three times after it had crashed three workers");
 }
 
-void SimSite::leave(const std::string &incarnation, absl::Duration notice) {
+void SimSite::drain(const std::string &incarnation, absl::Duration notice) {
   auto it = Workers.find(incarnation);
   if (it == Workers.end())
     return;
@@ -307,9 +308,8 @@
       rate /= Policy.RemoteFactor;
     run.WorkDone += absl::Milliseconds(StepMs) * rate;
     if (run.WorkDone >= run.RequiredWork)
-      ends.emplace_back(key, FailsItself && FailsItself(id, key.Run)
-                                 ? RunEnd::Failed
-                                 : RunEnd::Done);
+      ends.emplace_back(key, RunFails && RunFails(id, key.Run) ? RunEnd::Failed
+                                                               : RunEnd::Done);
   }
   for (const auto &[key, how] : ends)
     endRun(worker, key, how);
@@ -365,7 +365,7 @@
 void SimSite::checkCapacity(const Worker &worker) {
   core::Resources used;
   for (const auto &[key, run] : worker.Runs)
-    used += stepOf(taskIdOf(key.Task)).room();
+    used += stepOf(taskIdOf(key.Task)).taskResources();
   if (!used.fitsIn(worker.State.Capacity))
     Violations.push_back(worker.State.Life.Id + " runs more than its capacity");
 }
@@ -384,7 +384,7 @@
       it->second.Stopping = true;
       it->second.StopAt =
           Now +
-          (StopDurationOf ? StopDurationOf(taskIdOf(stop.Task)) : StopTakes);
+          (StopDurationOf ? StopDurationOf(taskIdOf(stop.Task)) : StopDuration);
     }
   }
   for (const endpoints::StartOrder &start : orders.Starts) {
@@ -392,7 +392,7 @@
     const bool known = worker.Runs.count(key) != 0;
     if (!known && !start.DecidedOn.fitsIn(worker.State.Capacity)) {
       worker.Results.push_back(
-          {start.Task, start.Run, endpoints::OrderOutcome::NoRoom, ""});
+          {start.Task, start.Run, endpoints::OrderOutcome::NoCapacity, ""});
       continue;
     }
     worker.Results.push_back(
@@ -406,7 +406,7 @@
     run.Order = start;
     run.StartedAt = Now;
     run.RequiredWork =
-        Work ? Work(id, spec) : absl::Milliseconds(spec.EstimateMs);
+        WorkTime ? WorkTime(id, spec) : absl::Milliseconds(spec.EstimateMs);
     if (!start.Saved.empty()) {
       run.WorkDone = absl::Milliseconds(std::stoll(start.Saved));
       run.RequiredWork += absl::Milliseconds(RestoreMs);
@@ -431,7 +431,7 @@
     for (ProgressWrite &write : Scheduler->takeWrites()) {
       StoredJob &job = Jobs.at(write.JobId);
       if (StoreDown) {
-        Scheduler->onNotWritten(write.JobId);
+        Scheduler->onWriteFailed(write.JobId);
         continue;
       }
       if (job.RecordRevision != write.RecordRevision ||
@@ -444,7 +444,7 @@
                 Scheduler->onWritten(write.JobId, read.Version,
                                      job.ProgressRevision, Now);
               }
-              Scheduler->onNotWritten(write.JobId);
+              Scheduler->onWriteFailed(write.JobId);
               return true;
             },
             [&](const utils::Error &e) {
@@ -456,7 +456,7 @@
       job.Progress = write.Value;
       job.ProgressRevision = ++Revision;
       if (StoreLosesAnswers)
-        Scheduler->onNotWritten(write.JobId);
+        Scheduler->onWriteFailed(write.JobId);
       else
         Scheduler->onWritten(write.JobId, write.Progress.Version,
                              job.ProgressRevision, Now);
@@ -500,7 +500,7 @@
   for (auto &[incarnation, worker] : Workers)
     if (reportDue || !worker.Ended.empty())
       sendReport(worker);
-  if (ms % TickEveryMs == 0)
+  if (ms % TickIntervalMs == 0)
     Scheduler->tick(Now);
   exchangeMessages();
 }
@@ -526,11 +526,11 @@
 JobState SimSite::state(const std::string &jobId) const {
   const StoredJob &job = Jobs.at(jobId);
   if (job.ProgressRevision == 0)
-    return shownState(job.Record, nullptr);
+    return visibleStateOf(job.Record, nullptr);
   return utils::handle<JobState>(
       [&]() -> utils::Result<JobState> {
         BOOST_LEAF_AUTO(progress, decodeProgress(job.Progress));
-        return shownState(job.Record, &progress);
+        return visibleStateOf(job.Record, &progress);
       },
       [](const utils::Error &) { return JobState::Queued; });
 }
@@ -543,7 +543,8 @@
   return *job.FirstStartAt - job.SubmittedAt;
 }
 
-std::optional<absl::Duration> SimSite::took(const std::string &jobId) const {
+std::optional<absl::Duration>
+SimSite::turnaroundTime(const std::string &jobId) const {
   const StoredJob &job = Jobs.at(jobId);
   if (!job.EndedAt)
     return std::nullopt;
--- a/tests/auto/jobs/tst_jobscheduler.cpp
+++ b/tests/auto/jobs/tst_jobscheduler.cpp
@@ -41,15 +41,17 @@
   EXPECT_EQ(site.workersOf("j").size(), 4u);
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(10)));
   EXPECT_EQ(site.state("j"), JobState::Completed);
-  EXPECT_GE(*site.took("j"), absl::Milliseconds(2900));
-  EXPECT_LE(*site.took("j"), absl::Milliseconds(3100));
+  EXPECT_GE(*site.turnaroundTime("j"), absl::Milliseconds(2900));
+  EXPECT_LE(*site.turnaroundTime("j"), absl::Milliseconds(3100));
   EXPECT_TRUE(site.violations().empty()) << site.violations().front();
 }
 
-// Guards against a gang that runs twice: all hosts lose power right after the
-// first end of a gang was reported, while the store is down. The leader
-// acknowledged the other members' ends at once, as the first end had completed
-// them in memory, and the workers dropped ends that no record held.
+// Guards against a gang that runs twice after all hosts have lost power, right
+// after the first end of the gang was reported while the store was down. The
+// leader acknowledged the other members' ends at once, as the first end had
+// completed them in memory, and the workers dropped ends that no record held.
+// Here the workers must keep the ends, from which the next leader completes the
+// gang.
 TEST(JobScheduler, AcknowledgesNoEndBeforeItIsRecorded) {
   SimSite site;
   addRacks(site, 1);
@@ -98,7 +100,7 @@
   site.runFor(absl::Milliseconds(50));
   ASSERT_EQ(starts(), 1);
   const std::string workerId = site.Log.back().Worker;
-  site.leave(workerId, absl::Seconds(20));
+  site.drain(workerId, absl::Seconds(20));
   site.runFor(absl::Seconds(2));
   EXPECT_EQ(starts(), 1);
   for (const char *each : {"w00", "w01", "w02"})
@@ -185,7 +187,7 @@
   site.runFor(absl::Milliseconds(600));
   site.submit(jobOf("j", step(1, {1000, 100, 8}, 1000)));
   site.runFor(absl::Milliseconds(500));
-  site.TickEveryMs = 10000;
+  site.TickIntervalMs = 10000;
   site.setCapacity("w", {32000, 65536, 8});
   EXPECT_EQ(site.workersOf("j").size(), 1u);
 }
@@ -218,13 +220,14 @@
   addRacks(site, 10);
   site.submit(jobOf("all", step(30, {32000, 1000, 8}, 60000)));
   site.runFor(absl::Seconds(2));
-  const int64_t before = site.scheduler().passes();
+  const int64_t before = site.scheduler().passCount();
   site.runFor(absl::Seconds(5));
-  EXPECT_EQ(site.scheduler().passes(), before);
+  EXPECT_EQ(site.scheduler().passCount(), before);
 }
 
-// The same with a job that waits. It may become startable through time alone,
-// so there is a scheduling pass on each tick, but not on each report.
+// Guards against a scheduling pass after each report while a job waits on a
+// full site. The job may become startable through time alone, so each tick runs
+// a pass, but a report that frees no capacity runs none.
 TEST(JobScheduler, WaitingJobIsScheduledOnTicksOnly) {
   SimSite site;
   addRacks(site, 1);
@@ -240,13 +243,13 @@
   report.AgentAddress = worker.Agent;
   report.Sequence = worker.Sequence + 1;
   report.Reachable = true;
-  const int64_t before = scheduler.passes();
+  const int64_t before = scheduler.passCount();
   scheduler.onReport(report, site.now());
   scheduler.decide(site.now());
-  EXPECT_EQ(scheduler.passes(), before);
+  EXPECT_EQ(scheduler.passCount(), before);
   scheduler.tick(site.now());
   scheduler.decide(site.now());
-  EXPECT_EQ(scheduler.passes(), before + 1);
+  EXPECT_EQ(scheduler.passCount(), before + 1);
 }
 
 core::SiteConfig configWithGuarantee(int64_t accelerators) {
@@ -286,9 +289,9 @@
 // the next gang came.
 TEST(JobScheduler, KeepsWorkersEmptyForRecurringUrgentJobs) {
   SchedulerPolicy policy;
-  policy.StopTakes = absl::Milliseconds(900);
+  policy.StopDuration = absl::Milliseconds(900);
   SimSite site(policy);
-  site.StopTakes = policy.StopTakes;
+  site.StopDuration = policy.StopDuration;
   addRacks(site, 10);
   for (int n = 0; n < 3; ++n)
     site.submit(
@@ -342,7 +345,7 @@
     site.addWorker(workerId, "ra");
   for (const char *workerId : {"b0", "b1"})
     site.addWorker(workerId, "rb");
-  site.FailsItself = [](const core::TaskId &, int64_t run) { return run == 1; };
+  site.RunFails = [](const core::TaskId &, int64_t run) { return run == 1; };
   site.runFor(absl::Milliseconds(600));
   site.submit(jobOf("g", step(3, {1000, 100, 8}, 1000, true, true)));
   site.runFor(absl::Milliseconds(1800));
@@ -392,7 +395,7 @@
   for (const std::string &workerId : idle)
     site.worker(workerId).Partitioned = false;
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-  EXPECT_EQ(site.wasted(), 0);
+  EXPECT_EQ(site.lostWork(), 0);
   EXPECT_LE(*site.waitTime("urgent"), absl::Milliseconds(1500));
 }
 
@@ -432,8 +435,8 @@
 }
 
 /// Work that fills a site of one rack when an urgent job arrives, and which of
-/// it may be stopped. On both users' sites urgent jobs come in waves of twice
-/// their usual number while other work fills the workers. Up to 2,900
+/// it has to be stopped. On both users' sites urgent jobs come in waves of
+/// twice their usual number while other work fills the workers. Up to 2,900
 /// core-seconds of work a day were discarded for them, a third of the value of
 /// such a day.
 struct StopCase {
@@ -443,7 +446,7 @@
   std::vector<int> Priorities;
   absl::Duration Age;
   core::StepSpec Urgent;
-  /// The jobs of FillerSteps that are stopped for the urgent job.
+  /// The jobs of FillerSteps that have to be stopped for the urgent job.
   std::set<std::string> Stopped;
 };
 
@@ -603,7 +606,7 @@
   EXPECT_LE(stopped.size(), 2u);
   EXPECT_EQ(site.state("urgent"), JobState::Completed);
   // Four waves of two seconds, times 1.5, plus a quarter of a second.
-  EXPECT_LE(*site.took("urgent"), absl::Milliseconds(12250));
+  EXPECT_LE(*site.turnaroundTime("urgent"), absl::Milliseconds(12250));
 }
 
 // Guards against a small urgent job that misses its deadline needlessly: it has
@@ -624,8 +627,8 @@
   site.runFor(absl::Milliseconds(1300));
   EXPECT_EQ(site.workersOf("small").size(), 1u);
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-  EXPECT_LE(*site.took("small"), absl::Milliseconds(3250));
-  EXPECT_LE(*site.took("wide"), absl::Milliseconds(13750));
+  EXPECT_LE(*site.turnaroundTime("small"), absl::Milliseconds(3250));
+  EXPECT_LE(*site.turnaroundTime("wide"), absl::Milliseconds(13750));
 }
 
 core::StepSpec asGang(core::StepSpec step) {
@@ -708,17 +711,17 @@
   site.submit(jobOf("j", c.Step));
   site.runFor(c.Age);
   ASSERT_EQ(site.starts(), c.Step.Count);
-  site.leave(*site.workersOf("j").begin(), absl::Milliseconds(4500));
+  site.drain(*site.workersOf("j").begin(), absl::Milliseconds(4500));
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(40)));
   int stops = 0;
   int resolvedRuns = 0;
   for (const Decision &d : site.Log) {
     stops += d.What == Decision::Kind::Stopping ? 1 : 0;
-    resolvedRuns += d.What == Decision::Kind::Settled ? 1 : 0;
+    resolvedRuns += d.What == Decision::Kind::RunResolved ? 1 : 0;
   }
   EXPECT_EQ(stops, c.Stops);
   EXPECT_EQ(resolvedRuns, 0);
-  EXPECT_LE(site.wasted(), c.MaxLostWork * 68);
+  EXPECT_LE(site.lostWork(), c.MaxLostWork * 68);
   EXPECT_TRUE(site.violations().empty()) << site.violations().front();
 }
 
@@ -747,7 +750,7 @@
     site.submit(jobOf("j", step(5, {1000, 1000, 8}, 2000, gang)), 0);
     ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(8))) << gang;
     EXPECT_EQ(site.state("j"), JobState::Completed);
-    EXPECT_LE(*site.took("j"), absl::Seconds(6)) << gang;
+    EXPECT_LE(*site.turnaroundTime("j"), absl::Seconds(6)) << gang;
     EXPECT_TRUE(site.violations().empty()) << site.violations().front();
   }
 }
@@ -761,13 +764,14 @@
     site.worker("w00").Slowness = 6;
     site.submit(jobOf("j", step(5, {1000, 1000, 8}, 4000, gang)), 0);
     ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-    EXPECT_LE(*site.took("j"), absl::Seconds(10)) << gang;
+    EXPECT_LE(*site.turnaroundTime("j"), absl::Seconds(10)) << gang;
     EXPECT_TRUE(site.violations().empty()) << site.violations().front();
   }
 }
 
-// The same for a task without peers in its step: the times that earlier tasks
-// of its queue took show that it is too slow.
+// Guards against a run that stays on a slow worker because its task has no
+// peers in its step to compare with. The times that earlier tasks of its queue
+// took show that it is too slow.
 TEST(JobScheduler, RestartsSingleTooSlowRunElsewhere) {
   SimSite site;
   addRacks(site, 2);
@@ -780,7 +784,7 @@
     site.worker(workerId).Slowness = 6;
   site.submit(jobOf("slow", step(1, {1000, 1000, 8}, 3000)), 0);
   ASSERT_TRUE(site.runUntilAllEnded(absl::Seconds(30)));
-  EXPECT_LE(*site.took("slow"), absl::Seconds(12));
+  EXPECT_LE(*site.turnaroundTime("slow"), absl::Seconds(12));
 }
 
 // Guards against healthy runs that are taken for stalled. Members of a long
@@ -792,7 +796,8 @@
     SimSite site;
     addRacks(site, 3);
     site.worker("w01").Slowness = 1.3;
-    site.Work = [workFactor](const core::TaskId &, const core::StepSpec &spec) {
+    site.WorkTime = [workFactor](const core::TaskId &,
+                                 const core::StepSpec &spec) {
       return absl::Milliseconds(spec.EstimateMs) * workFactor;
     };
     site.submit(jobOf("gang", step(6, {1000, 1000, 8}, 4000, true)));
--- a/tests/auto/metrics/tst_metrics.cpp
+++ b/tests/auto/metrics/tst_metrics.cpp
@@ -15,7 +15,7 @@
 
 struct TextCase {
   const char *Name;
-  std::function<void(ProcessMetrics &)> Do;
+  std::function<void(ProcessMetrics &)> Record;
   std::vector<std::string> Lines;
 };
 
@@ -23,9 +23,9 @@
 
 class MetricsText : public ::testing::TestWithParam<TextCase> {};
 
-TEST_P(MetricsText, HasTheLines) {
+TEST_P(MetricsText, ContainsTheExpectedLines) {
   ProcessMetrics metrics;
-  GetParam().Do(metrics);
+  GetParam().Record(metrics);
   const std::string text = metrics.text();
   for (const std::string &line : GetParam().Lines)
     EXPECT_NE(text.find(line + "\n"), std::string::npos) << line << "\n"
@@ -35,9 +35,9 @@
 const TextCase TextCases[] = {
     {"calls",
      [](ProcessMetrics &m) {
-       m.callAnswered("submit", "ok", absl::Milliseconds(20));
-       m.callAnswered("submit", "ok", absl::Milliseconds(70));
-       m.callAnswered("submit", "not_done", absl::Seconds(2));
+       m.recordCall("submit", "ok", absl::Milliseconds(20));
+       m.recordCall("submit", "ok", absl::Milliseconds(70));
+       m.recordCall("submit", "not_done", absl::Seconds(2));
      },
      {R"(oriolebay_calls_total{call="submit",result="ok"} 2)",
       R"(oriolebay_calls_total{call="submit",result="not_done"} 1)",
@@ -46,21 +46,21 @@
       R"(oriolebay_call_duration_seconds_bucket{call="submit",le="1"} 2)"}},
     {"store",
      [](ProcessMetrics &m) {
-       m.storeCalled("get", "unknown", absl::Milliseconds(700));
+       m.recordStoreCall("get", "unknown", absl::Milliseconds(700));
      },
      {R"(oriolebay_store_calls_total{call="get",status="unknown"} 1)",
       R"(oriolebay_store_call_duration_seconds_bucket{call="get",le="0.5"} 0)",
       R"(oriolebay_store_call_duration_seconds_bucket{call="get",le="1"} 1)"}},
     {"jobs",
      [](ProcessMetrics &m) {
-       m.runPlaced(1, absl::Milliseconds(300));
-       m.jobEnded("completed", 0, absl::Seconds(3));
+       m.recordRunPlaced(1, absl::Milliseconds(300));
+       m.recordJobEnded("completed", 0, absl::Seconds(3));
      },
      {R"(oriolebay_placement_wait_seconds_bucket{rank="1",le="0.25"} 0)",
       R"(oriolebay_placement_wait_seconds_bucket{rank="1",le="0.5"} 1)",
       R"(oriolebay_job_duration_seconds_count{priority="0",state="completed"} 1)"}},
     {"orders",
-     [](ProcessMetrics &m) { m.orderConcluded("started"); },
+     [](ProcessMetrics &m) { m.recordOrderOutcome("started"); },
      {R"(oriolebay_orders_total{outcome="started"} 1)"}},
     {"gauges_hold_the_last_value",
      [](ProcessMetrics &m) {
@@ -95,12 +95,12 @@
   std::thread Runner;
 };
 
-TEST_F(MetricsServing, AnswersWithFreshGauges) {
-  int asked = 0;
+TEST_F(MetricsServing, GaugesAreUpdatedForEveryRequest) {
+  int requests = 0;
   MetricsServer server(
       Loop, Metrics,
-      [&asked](ProcessMetrics &m) {
-        m.set("asked", "Asked so often.", ++asked);
+      [&requests](ProcessMetrics &m) {
+        m.set("asked", "Number of requests.", ++requests);
       },
       "127.0.0.1", 0);
   ASSERT_GT(server.port(), 0);
@@ -111,13 +111,13 @@
   EXPECT_EQ(get(server.port(), "/other").Status, 404);
 }
 
-// Another process holds the address of the metrics. The entry did not start at
-// all, and callers found one entry fewer, for want of figures that nobody had
-// asked for.
-TEST_F(MetricsServing, TakenAddressStopsNothing) {
-  auto none = [](ProcessMetrics &) {};
-  MetricsServer first(Loop, Metrics, none, "127.0.0.1", 0);
-  MetricsServer second(Loop, Metrics, none, "127.0.0.1", first.port());
+// Guards against an entry that does not start because another process uses the
+// address of its metrics: callers lost an entry only because its metrics could
+// not be served.
+TEST_F(MetricsServing, AddressInUseDoesNotPreventTheStart) {
+  auto noGauges = [](ProcessMetrics &) {};
+  MetricsServer first(Loop, Metrics, noGauges, "127.0.0.1", 0);
+  MetricsServer second(Loop, Metrics, noGauges, "127.0.0.1", first.port());
   EXPECT_EQ(second.port(), 0);
   EXPECT_EQ(get(first.port(), "/metrics").Status, 200);
 }
--- a/tests/auto/testnames.h
+++ b/tests/auto/testnames.h
@@ -11,9 +11,9 @@
 
 /// Turns the description of a test case into a name that gtest accepts: letters
 /// and digits are kept, everything else becomes an underscore.
-inline std::string storyName(const std::string &story) {
+inline std::string testNameFrom(const std::string &description) {
   std::string out;
-  for (char ch : story)
+  for (char ch : description)
     out += std::isalnum(static_cast<unsigned char>(ch)) != 0 ? ch : '_';
   return out;
 }
@@ -24,7 +24,8 @@
   const std::string name =
       testing::UnitTest::GetInstance()->current_test_info()->name();
   return std::filesystem::temp_directory_path() /
-         ("oriolebay-test-" + std::to_string(getpid()) + "-" + storyName(name));
+         ("oriolebay-test-" + std::to_string(getpid()) + "-" +
+          testNameFrom(name));
 }
 
 } // namespace oriolebay::testnames
