--- a/src/libs/endpoints/messages.h
+++ b/src/libs/endpoints/messages.h
@@ -293,11 +293,10 @@
 
 /// The answer to a WorkerReport. Epoch is zero if the entry does not lead.
 /// Leader and LeaderEpoch name the leader that the entry knows, Entries the
-/// addresses of some entries. Doubtful: the
-/// entry leads, but the store has not confirmed its lease for longer than the
-/// lease time. GrantMs: time for which the agent may keep the worker's tasks
-/// alive, counted from when it sent the report; zero does not extend the last
-/// grant. SeenUpto: ends of this
+/// addresses of some entries. Doubtful: the entry leads, but the store has not
+/// confirmed its lease for longer than the lease time. GrantMs: time for which
+/// the agent may keep the worker's tasks alive, counted from when it sent the
+/// report; zero does not extend the last grant. SeenUpto: ends of this
 /// incarnation up to this number are recorded.
 struct ReportAck {
   int64_t Epoch = 0;
--- a/src/libs/operators/configfollower.cpp
+++ b/src/libs/operators/configfollower.cpp
@@ -110,9 +110,9 @@
         if (!*alive)
           return;
         if (r.ok()) {
-          // The configuration in force may have changed since the
-          // call was sent. The answer is then about an older one,
-          // and the newer view is at least as fresh.
+          // The configuration in force may have changed since the call was
+          // sent. The answer is then about an older one, and the newer view is
+          // at least as fresh.
           if (expectedRevision <= Revision)
             ConfirmedAt = std::max(ConfirmedAt, sentAt);
           done(true);
--- a/tests/auto/system/tst_failures.cpp
+++ b/tests/auto/system/tst_failures.cpp
@@ -187,8 +187,8 @@
                    Outcome::Done, 2},
         WorkerCase{"agent frozen non idempotent", WorkerFault::FreezeAgent,
                    false, Outcome::Failed, 1},
-        // The drain period is shorter than the gang's run: the
-        // agent has the gang checkpointed, and it resumes elsewhere.
+        // The drain period is shorter than the gang's run: the agent has the
+        // gang checkpointed, and it resumes elsewhere.
         WorkerCase{"agent drained", WorkerFault::Retire, true, Outcome::Done,
                    2}),
     [](const auto &info) {
