--- a/src/libs/agent/agentservice.cpp
+++ b/src/libs/agent/agentservice.cpp
@@ -84,8 +84,8 @@
   // call takes longer than the heartbeat period.
   const auto entries = heartbeatTargets();
   const std::vector<endpoints::Message> messages(
-      entries.size(), endpoints::Announce{info, Incarnation, Draining, epoch,
-                                          Tasks.unreportedTasks()});
+      entries.size(),
+      endpoints::Announce{info, Incarnation, Draining, epoch, Tasks.tasks()});
   const absl::Time sent = steadyNow();
   SentMessages += static_cast<int64_t>(entries.size());
   {
@@ -304,7 +304,7 @@
           StopRequested.WaitForNotificationWithTimeout(RetryPeriod))
         break;
     }
-    Tasks.removeReported(key);
+    Tasks.remove(key);
   }
 }
 
--- a/src/libs/agent/leaderfinder.cpp
+++ b/src/libs/agent/leaderfinder.cpp
@@ -11,7 +11,7 @@
   return "";
 }
 
-std::optional<std::string> LeaderFinder::secondTarget() {
+std::optional<std::string> LeaderFinder::nextSecondTarget() {
   if (!TargetLeads || !LeaseUnconfirmed)
     return std::nullopt;
   std::string entry = nextOtherEntry();
--- a/src/libs/agent/leaderfinder.h
+++ b/src/libs/agent/leaderfinder.h
@@ -19,7 +19,7 @@
   /// Address of a second entry that receives the report. Set if the leader
   /// could not confirm its lease, because another entry may lead by then. Each
   /// call returns the next of the other entries in turn.
-  std::optional<std::string> secondTarget();
+  std::optional<std::string> nextSecondTarget();
   /// Returns whether the owner should read the entries from the store, because
   /// none is known or all known entries may be gone.
   bool needsEntries() const {
--- a/src/libs/agent/tasktable.cpp
+++ b/src/libs/agent/tasktable.cpp
@@ -110,7 +110,7 @@
   FreeAccelerators += it->second.Accelerators;
 }
 
-void TaskTable::removeReported(const TaskKey &key) {
+void TaskTable::remove(const TaskKey &key) {
   absl::MutexLock lock(&Mu);
   Tasks.erase(key);
 }
@@ -166,7 +166,7 @@
   }
 }
 
-std::vector<endpoints::TaskStatus> TaskTable::unreportedTasks() const {
+std::vector<endpoints::TaskStatus> TaskTable::tasks() const {
   absl::MutexLock lock(&Mu);
   std::vector<endpoints::TaskStatus> out;
   for (const auto &[key, task] : Tasks)
--- a/src/libs/agent/tasktable.h
+++ b/src/libs/agent/tasktable.h
@@ -60,7 +60,7 @@
   void endRun(const TaskKey &key);
   /// Removes a task whose end the leading entry acknowledged, or whose end can
   /// no longer be reported because this process stops.
-  void removeReported(const TaskKey &key);
+  void remove(const TaskKey &key);
 
   /// Waits until a running task has to be stopped, and returns the tasks that
   /// were not returned before. Tasks that have not ended after the retry period
@@ -75,7 +75,7 @@
   void recordWatts(const std::vector<endpoints::TaskStatus> &measured);
   /// Returns all tasks that are not removed: those that wait for a runner,
   /// those that run, and those whose end has not been acknowledged.
-  std::vector<endpoints::TaskStatus> unreportedTasks() const;
+  std::vector<endpoints::TaskStatus> tasks() const;
   /// Returns whether there are neither tasks nor reservations.
   bool isIdle() const;
   /// Returns the number of running tasks.
--- a/src/libs/agent/workeragent.cpp
+++ b/src/libs/agent/workeragent.cpp
@@ -276,7 +276,7 @@
   LastSequence = std::max(LastSequence + 1, toMs(Loop.now()));
   message.Sequence = LastSequence;
   sendReport(Leader.target(), message);
-  if (const std::optional<std::string> second = Leader.secondTarget())
+  if (const std::optional<std::string> second = Leader.nextSecondTarget())
     sendReport(*second, message);
 }
 
--- a/src/libs/entry/jobentry.cpp
+++ b/src/libs/entry/jobentry.cpp
@@ -107,7 +107,7 @@
       storeErrorLogger("jobs"));
   jobs::JobServicePolicy servicePolicy;
   servicePolicy.MaxConfigAge = Time.MaxConfigAge;
-  servicePolicy.MaxViewAge = Time.MaxConfirmedConfigAge;
+  servicePolicy.MaxViewAge = Time.MaxViewAge;
   Forwarder = std::make_unique<CallForwarder>(
       Loop, Peers, [this] { return otherEntries(); });
   Service = std::make_unique<jobs::JobService>(
--- a/src/libs/http/asyncserver.cpp
+++ b/src/libs/http/asyncserver.cpp
@@ -86,7 +86,7 @@
 HttpRequest AsyncServer::Impl::makeRequest(Exchange &exchange, const char *url,
                                            const char *method) {
   HttpRequest request{method, url, std::move(exchange.Body)};
-  for (const std::string &name : Options.KeptHeaders) {
+  for (const std::string &name : Options.StoredHeaders) {
     const char *value = MHD_lookup_connection_value(
         exchange.Connection, MHD_HEADER_KIND, name.c_str());
     if (value != nullptr)
--- a/src/libs/http/asyncserver.h
+++ b/src/libs/http/asyncserver.h
@@ -19,7 +19,7 @@
   /// and the data beyond the limit is discarded.
   size_t MaxBodyBytes = 1 << 20;
   /// Names of the request headers that are stored in HttpRequest::Headers.
-  std::vector<std::string> KeptHeaders;
+  std::vector<std::string> StoredHeaders;
 };
 
 /// An HTTP/1.1 server based on libmicrohttpd, with one thread for all
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -154,7 +154,7 @@
   t.LeaderLease = std::max(absl::Milliseconds(s.Bounds.LeaseMs) * 2 / 3,
                            absl::Milliseconds(s.StoreMinLeaseMs));
   t.ConfirmInterval = absl::Milliseconds(s.Bounds.ConfigApplyMs) * 3 / 10;
-  t.MaxConfirmedConfigAge = t.ConfirmInterval * 4 / 3;
+  t.MaxViewAge = t.ConfirmInterval * 4 / 3;
   t.MaxConfigAge = absl::Milliseconds(s.Bounds.RevokeMs) / 2;
   t.NotReadyAfter = absl::Milliseconds(s.Bounds.ConfigApplyMs);
   t.ReclaimAfter =
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -105,7 +105,7 @@
   /// Maximum age of a view of the configuration that was confirmed in time. If
   /// the view is older, a confirmation is missing, and the store's watches are
   /// not relied on either.
-  absl::Duration MaxConfirmedConfigAge;
+  absl::Duration MaxViewAge;
   /// Maximum age of a view of the configuration. Calls are not served with
   /// older views.
   absl::Duration MaxConfigAge;
--- a/tests/auto/adapter/platformstub.h
+++ b/tests/auto/adapter/platformstub.h
@@ -21,7 +21,7 @@
   /// If \p answer is empty, nothing listens at the address.
   explicit PlatformStub(std::optional<http::HttpResponse> answer) {
     http::AsyncServerOptions options;
-    options.KeptHeaders = {"Oriolebay-Expect-Instance"};
+    options.StoredHeaders = {"Oriolebay-Expect-Instance"};
     Server = std::make_unique<http::AsyncServer>(
         options, [this, answer](const http::HttpRequest &request,
                                 const http::AsyncServer::Respond &respond) {
--- a/tests/auto/agent/tst_leaderfinder.cpp
+++ b/tests/auto/agent/tst_leaderfinder.cpp
@@ -42,9 +42,9 @@
   LeaderFinder finder;
   finder.setEntries({"a", "b", "c"});
   ASSERT_TRUE(finder.onAnswer("a", leaderAck(7)));
-  EXPECT_FALSE(finder.secondTarget().has_value());
+  EXPECT_FALSE(finder.nextSecondTarget().has_value());
   ASSERT_TRUE(finder.onAnswer("a", leaderAck(7, true)));
-  const std::optional<std::string> second = finder.secondTarget();
+  const std::optional<std::string> second = finder.nextSecondTarget();
   ASSERT_TRUE(second.has_value());
   EXPECT_NE(*second, "a");
   EXPECT_FALSE(finder.onAnswer(*second, followerAck("c", 9)));
@@ -63,7 +63,7 @@
   finder.setEntries({"a", "b", "c"});
   ASSERT_TRUE(finder.onAnswer("a", leaderAck(7, true)));
   for (int i = 0; i < 5; ++i) {
-    const std::optional<std::string> second = finder.secondTarget();
+    const std::optional<std::string> second = finder.nextSecondTarget();
     ASSERT_TRUE(second.has_value());
     EXPECT_FALSE(finder.onAnswer(*second, followerAck("a", 7)));
     EXPECT_EQ(finder.target(), "a");
--- a/tests/auto/agent/tst_tasktable.cpp
+++ b/tests/auto/agent/tst_tasktable.cpp
@@ -34,7 +34,7 @@
   EXPECT_TRUE(tryStart("r", {0, 1}));
   EXPECT_FALSE(tryStart("r", {0, 1}));
   Tasks.endRun({"r", 0});
-  Tasks.removeReported({"r", 0});
+  Tasks.remove({"r", 0});
   EXPECT_NE(Tasks.reserve(makeReserve("r", {0}, 4), Start), "");
 }
 
--- a/tests/auto/settings/tst_nodesettings.cpp
+++ b/tests/auto/settings/tst_nodesettings.cpp
@@ -135,8 +135,8 @@
             absl::Milliseconds(siteBounds.ConfigApplyMs));
   // A view that was confirmed in time counts as fresh. Otherwise an entry
   // forwards calls that it could serve itself.
-  EXPECT_GT(t.MaxConfirmedConfigAge, t.ConfirmInterval);
-  EXPECT_LT(t.MaxConfirmedConfigAge, t.MaxConfigAge);
+  EXPECT_GT(t.MaxViewAge, t.ConfirmInterval);
+  EXPECT_LT(t.MaxViewAge, t.MaxConfigAge);
   // Capacity is reclaimed early enough for the stop to end within the bound.
   EXPECT_LT(t.ReclaimAfter + absl::Milliseconds(siteBounds.StopGraceMs),
             absl::Milliseconds(siteBounds.ReclaimMs));
