--- a/src/libs/jobs/jobdeadline.h
+++ b/src/libs/jobs/jobdeadline.h
@@ -49,8 +49,8 @@
 criticalPathsFrom(const std::vector<core::StepSpec> &steps,
                   const std::vector<int> &waves, const TaskTime &taskTime);
 
-/// Waves and predecessors of each step for the log, such as "waves=2; waves=1
-/// after=0".
+/// Waves and predecessors of each step for the log, such as
+/// "waves=2; waves=1 after=0".
 std::string stepsText(const std::vector<core::StepSpec> &steps,
                       const JobDeadline &deadline);
 
